--- a/libraries/entry/job_shard_actor.cpp
+++ b/libraries/entry/job_shard_actor.cpp
@@ -208,7 +208,7 @@
         send();
         return;
     }
-    append(jobs::intent{attempt, it.group, epoch_of_group(it.group)},
+    append(jobs::start_intent{attempt, it.group, epoch_of_group(it.group)},
            [this, attempt, send](base::outcome<stream::position> const& ended)
            {
                if (ended)
@@ -229,8 +229,8 @@
 
 void job_shard_actor::end_job(placement::job_outcome const& it)
 {
-    jobs::ended const record{it.job, it.state, it.detail,
-                             m_node.clock.wall_us()};
+    jobs::job_ended const record{it.job, it.state, it.detail,
+                                 m_node.clock.wall_us()};
     append(record,
            [this, it](base::outcome<stream::position> const& ended)
            {
--- a/libraries/entry/job_shard_actor.hpp
+++ b/libraries/entry/job_shard_actor.hpp
@@ -2,7 +2,7 @@
 
 #include <entry/group_outbox.hpp>
 #include <entry/messages.hpp>
-#include <jobs/book.hpp>
+#include <jobs/job_table.hpp>
 #include <placement/job_queue.hpp>
 
 #include <caf/event_based_actor.hpp>
@@ -85,7 +85,7 @@
     // Requests (job_shard_requests.cpp).
     void submit(job_submitted const& it);
     void accept(job_submitted const& it,
-                jobs::accepted const& record,
+                jobs::job_accepted const& record,
                 base::outcome<stream::position> const& written);
     void show(job_shown const& it);
     void cancel(job_cancelled const& it);
@@ -126,7 +126,7 @@
     phase m_phase{phase::reading};
     std::shared_ptr<std::atomic<bool>> m_stop_reading{
         std::make_shared<std::atomic<bool>>(false)};
-    jobs::book m_book;
+    jobs::job_table m_book;
     std::unique_ptr<placement::job_queue> m_queue;
     std::shared_ptr<void const> m_contracts_seen;
     std::map<std::string, group_outbox> m_outboxes;
--- a/libraries/entry/job_shard_log.cpp
+++ b/libraries/entry/job_shard_log.cpp
@@ -20,11 +20,11 @@
 
 std::string job_of(jobs::record const& it)
 {
-    if (auto const* const accepted = std::get_if<jobs::accepted>(&it))
+    if (auto const* const accepted = std::get_if<jobs::job_accepted>(&it))
     {
         return accepted->job;
     }
-    if (auto const* const intent = std::get_if<jobs::intent>(&it))
+    if (auto const* const intent = std::get_if<jobs::start_intent>(&it))
     {
         return intent->attempt.task.job;
     }
@@ -32,7 +32,7 @@
     {
         return done->task.job;
     }
-    if (auto const* const ended = std::get_if<jobs::ended>(&it))
+    if (auto const* const ended = std::get_if<jobs::job_ended>(&it))
     {
         return ended->job;
     }
@@ -116,7 +116,7 @@
     {
         m_pending_of_job[job] += 1;
     }
-    jobs::stamped const stamped{m_epoch, record};
+    jobs::stamped_record const stamped{m_epoch, record};
     m_appends[ticket] = [this, stamped, job, then = std::move(then)](
                             base::outcome<stream::position> const& ended)
     {
@@ -169,11 +169,11 @@
         return;
     }
     m_keep_at = now + base::from_seconds(m_node.settings.platform.snapshot_s);
-    append(jobs::opened{m_node.settings.instance, m_book.term()},
+    append(jobs::shard_opened{m_node.settings.instance, m_book.term()},
            [](auto const&) {});
     for (auto const& it : m_book.snapshot())
     {
-        auto const& kept = std::get<jobs::kept>(it);
+        auto const& kept = std::get<jobs::job_snapshot>(it);
         if (!m_pending_of_job.contains(kept.job))
         {
             append(it, [](auto const&) {});
@@ -192,14 +192,14 @@
     auto const contracts = m_node.configuration.contracts();
     std::erase_if(m_started_at_us, [this](auto const& it)
                   { return m_book.find(it.first) == nullptr; });
-    m_book.age_out(m_node.clock.wall_us(),
-                   [&](std::string const& name)
-                   {
-                       auto const it = contracts->find(name);
-                       return it == contracts->end()
-                                  ? s_default_retention_s
-                                  : it->second.contract.retention_s;
-                   });
+    m_book.remove_expired(m_node.clock.wall_us(),
+                          [&](std::string const& name)
+                          {
+                              auto const it = contracts->find(name);
+                              return it == contracts->end()
+                                         ? s_default_retention_s
+                                         : it->second.contract.retention_s;
+                          });
 }
 
 } // namespace berylhill::entry
--- a/libraries/entry/job_shard_recovery.cpp
+++ b/libraries/entry/job_shard_recovery.cpp
@@ -61,12 +61,12 @@
     }
     if (page.missed)
     {
-        m_book.restart();
+        m_book.reset();
     }
     for (auto const& it : page.entries)
     {
         auto const record =
-            base::capture([&] { return jobs::stamped_from(it.value); });
+            base::capture([&] { return jobs::stamped_record_from(it.value); });
         if (!record)
         {
             base::log(base::log_level::warning, "job_record_ignored",
@@ -91,7 +91,8 @@
 
 void job_shard_actor::open()
 {
-    jobs::opened const record{m_node.settings.instance, m_book.term() + 1};
+    jobs::shard_opened const record{m_node.settings.instance,
+                                    m_book.term() + 1};
     append(record,
            [this](base::outcome<stream::position> const& ended)
            {
--- a/libraries/entry/job_shard_requests.cpp
+++ b/libraries/entry/job_shard_requests.cpp
@@ -65,14 +65,14 @@
         it.answer.set(admissible.error());
         return;
     }
-    jobs::accepted const record{it.job, it.request, m_node.clock.wall_us()};
+    jobs::job_accepted const record{it.job, it.request, m_node.clock.wall_us()};
     append(record,
            [this, it, record](base::outcome<stream::position> const& written)
            { accept(it, record, written); });
 }
 
 void job_shard_actor::accept(job_submitted const& it,
-                             jobs::accepted const& record,
+                             jobs::job_accepted const& record,
                              base::outcome<stream::position> const& written)
 {
     m_keys_pending.erase({it.request.contract, it.request.key});
--- a/libraries/jobs/book.cpp
+++ b/libraries/jobs/job_table.cpp
@@ -1,4 +1,4 @@
-#include <jobs/book.hpp>
+#include <jobs/job_table.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -13,13 +13,13 @@
 
 } // namespace
 
-bool book::apply(stamped const& it)
+bool job_table::apply(stamped_record const& it)
 {
     if (it.epoch < m_epoch)
     {
         return false;
     }
-    if (std::holds_alternative<opened>(it.value))
+    if (std::holds_alternative<shard_opened>(it.value))
     {
         m_epoch = it.epoch;
     }
@@ -27,18 +27,18 @@
     return true;
 }
 
-void book::restart()
+void job_table::reset()
 {
     m_jobs.clear();
     m_keys.clear();
 }
 
-void book::take(opened const& it)
+void job_table::take(shard_opened const& it)
 {
     m_term = std::max(m_term, it.term);
 }
 
-void book::take(accepted const& it)
+void job_table::take(job_accepted const& it)
 {
     job_entry entry;
     entry.request = it.request;
@@ -46,7 +46,7 @@
     add(it.job, std::move(entry));
 }
 
-void book::take(intent const& it)
+void job_table::take(start_intent const& it)
 {
     auto const found = m_jobs.find(it.attempt.task.job);
     if (found != m_jobs.end())
@@ -55,7 +55,7 @@
     }
 }
 
-void book::take(task_done const& it)
+void job_table::take(task_done const& it)
 {
     auto const found = m_jobs.find(it.task.job);
     if (found != m_jobs.end())
@@ -64,7 +64,7 @@
     }
 }
 
-void book::take(ended const& it)
+void job_table::take(job_ended const& it)
 {
     auto const found = m_jobs.find(it.job);
     if (found == m_jobs.end() || model::is_final(found->second.state))
@@ -76,7 +76,7 @@
     found->second.ended_at_us = it.at_us;
 }
 
-void book::take(kept const& it)
+void job_table::take(job_snapshot const& it)
 {
     if (m_jobs.contains(it.job))
     {
@@ -97,7 +97,7 @@
     add(it.job, std::move(entry));
 }
 
-void book::add(std::string const& job, job_entry entry)
+void job_table::add(std::string const& job, job_entry entry)
 {
     auto const& request = entry.request;
     if (!request.key.empty())
@@ -107,9 +107,9 @@
     m_jobs.try_emplace(job, std::move(entry));
 }
 
-std::size_t
-book::age_out(std::int64_t now_us,
-              std::function<double(std::string const&)> const& retention_of)
+std::size_t job_table::remove_expired(
+    std::int64_t now_us,
+    std::function<double(std::string const&)> const& retention_of)
 {
     std::size_t n = 0;
     for (auto it = m_jobs.begin(); it != m_jobs.end();)
@@ -130,14 +130,14 @@
     return n;
 }
 
-job_entry const* book::find(std::string const& job) const
+job_entry const* job_table::find(std::string const& job) const
 {
     auto const found = m_jobs.find(job);
     return found == m_jobs.end() ? nullptr : &found->second;
 }
 
-std::optional<std::string> book::job_of_key(std::string const& contract,
-                                            std::string const& key) const
+std::optional<std::string> job_table::job_of_key(std::string const& contract,
+                                                 std::string const& key) const
 {
     auto const found = m_keys.find({contract, key});
     if (found == m_keys.end())
@@ -147,13 +147,13 @@
     return found->second;
 }
 
-std::vector<record> book::snapshot() const
+std::vector<record> job_table::snapshot() const
 {
     std::vector<record> out;
     out.reserve(m_jobs.size());
     for (auto const& [job, entry] : m_jobs)
     {
-        kept it;
+        job_snapshot it;
         it.job = job;
         it.request = entry.request;
         it.accepted_at_us = entry.accepted_at_us;
--- a/libraries/jobs/book.hpp
+++ b/libraries/jobs/job_table.hpp
@@ -20,7 +20,7 @@
     std::int64_t accepted_at_us{0};
     std::set<std::int32_t> done;
     /// By task index: the newest attempt that may have been sent.
-    std::map<std::int32_t, intent> intents;
+    std::map<std::int32_t, start_intent> intents;
     model::job_state state{model::job_state::queued};
     std::string detail;
     std::int64_t ended_at_us{0};
@@ -30,7 +30,7 @@
 
 /// The fold of one shard's stream: the same records give the same book in
 /// every process. Pure; not thread-safe.
-class book
+class job_table
 {
 public:
     /// Takes the next record of the stream. Returns whether it counts: records
@@ -39,17 +39,17 @@
     /// It guards against an owner that was superseded and whose append arrives
     /// late. The new owner has not seen that record, so a job in it would
     /// never run; void for every reader, it can be submitted again.
-    bool apply(stamped const& it);
+    bool apply(stamped_record const& it);
 
     /// Forgets everything, because retention dropped records that were not
     /// read; what is still wanted follows in `kept` records.
-    void restart();
+    void reset();
 
     /// Removes finished jobs whose retention, in seconds by contract, is over
     /// at `now_us`. Returns how many.
-    std::size_t
-    age_out(std::int64_t now_us,
-            std::function<double(std::string const&)> const& retention_of);
+    std::size_t remove_expired(
+        std::int64_t now_us,
+        std::function<double(std::string const&)> const& retention_of);
 
     [[nodiscard]] std::int64_t epoch() const noexcept
     {
@@ -73,17 +73,17 @@
     /// Everything as records, to be written again before retention drops it.
     [[nodiscard]] std::vector<record> snapshot() const;
 
-    friend bool operator==(book const&, book const&) = default;
+    friend bool operator==(job_table const&, job_table const&) = default;
 
 private:
     using key_of_contract = std::pair<std::string, std::string>;
 
-    void take(opened const& it);
-    void take(accepted const& it);
-    void take(intent const& it);
+    void take(shard_opened const& it);
+    void take(job_accepted const& it);
+    void take(start_intent const& it);
     void take(task_done const& it);
-    void take(ended const& it);
-    void take(kept const& it);
+    void take(job_ended const& it);
+    void take(job_snapshot const& it);
     void add(std::string const& job, job_entry entry);
 
     std::int64_t m_epoch{-1};
--- a/libraries/jobs/record.cpp
+++ b/libraries/jobs/record.cpp
@@ -10,7 +10,7 @@
 
 using model::to_json;
 
-Json::Value body_of(opened const& it)
+Json::Value body_of(shard_opened const& it)
 {
     Json::Value out{Json::objectValue};
     out["kind"] = "opened";
@@ -19,7 +19,7 @@
     return out;
 }
 
-Json::Value body_of(accepted const& it)
+Json::Value body_of(job_accepted const& it)
 {
     Json::Value out{Json::objectValue};
     out["kind"] = "accepted";
@@ -29,7 +29,7 @@
     return out;
 }
 
-Json::Value intent_json(intent const& it)
+Json::Value intent_json(start_intent const& it)
 {
     auto out = to_json(it.attempt);
     out["group"] = it.group;
@@ -37,13 +37,14 @@
     return out;
 }
 
-base::result<intent> intent_of(Json::Value const& it)
+base::result<start_intent> intent_of(Json::Value const& it)
 {
     BOOST_LEAF_AUTO(attempt, model::attempt_id_from(it));
-    return intent{attempt, it["group"].asString(), it["group_epoch"].asInt64()};
+    return start_intent{attempt, it["group"].asString(),
+                        it["group_epoch"].asInt64()};
 }
 
-Json::Value body_of(intent const& it)
+Json::Value body_of(start_intent const& it)
 {
     auto out = intent_json(it);
     out["kind"] = "intent";
@@ -57,7 +58,7 @@
     return out;
 }
 
-Json::Value body_of(ended const& it)
+Json::Value body_of(job_ended const& it)
 {
     Json::Value out{Json::objectValue};
     out["kind"] = "ended";
@@ -68,7 +69,7 @@
     return out;
 }
 
-Json::Value body_of(kept const& it)
+Json::Value body_of(job_snapshot const& it)
 {
     Json::Value out{Json::objectValue};
     out["kind"] = "kept";
@@ -93,13 +94,13 @@
 
 base::result<record> opened_from(Json::Value const& it)
 {
-    return opened{it["instance"].asString(), it["term"].asInt()};
+    return shard_opened{it["instance"].asString(), it["term"].asInt()};
 }
 
 base::result<record> accepted_from(Json::Value const& it)
 {
     BOOST_LEAF_AUTO(request, model::job_request_from(it["request"]));
-    return accepted{it["job"].asString(), request, it["at_us"].asInt64()};
+    return job_accepted{it["job"].asString(), request, it["at_us"].asInt64()};
 }
 
 base::result<record> intent_from(Json::Value const& it)
@@ -118,13 +119,13 @@
 {
     BOOST_LEAF_AUTO(state,
                     model::enum_from<model::job_state>(it["state"].asString()));
-    return ended{it["job"].asString(), state, it["detail"].asString(),
-                 it["at_us"].asInt64()};
+    return job_ended{it["job"].asString(), state, it["detail"].asString(),
+                     it["at_us"].asInt64()};
 }
 
 base::result<record> kept_from(Json::Value const& it)
 {
-    kept out;
+    job_snapshot out;
     out.job = it["job"].asString();
     BOOST_LEAF_ASSIGN(out.request, model::job_request_from(it["request"]));
     BOOST_LEAF_ASSIGN(
@@ -181,7 +182,7 @@
     return "jobs-" + side + "-" + std::to_string(shard);
 }
 
-Json::Value to_json(stamped const& it)
+Json::Value to_json(stamped_record const& it)
 {
     auto out =
         std::visit([](auto const& value) { return body_of(value); }, it.value);
@@ -189,14 +190,14 @@
     return out;
 }
 
-base::result<stamped> stamped_from(Json::Value const& it)
+base::result<stamped_record> stamped_record_from(Json::Value const& it)
 {
     if (!it.isObject() || !it["kind"].isString() || !it["epoch"].isInt64())
     {
         return base::fail(base::failure_code::invalid, "not a job record");
     }
     BOOST_LEAF_AUTO(value, record_from(it["kind"].asString(), it));
-    return stamped{it["epoch"].asInt64(), value};
+    return stamped_record{it["epoch"].asInt64(), value};
 }
 
 } // namespace berylhill::jobs
--- a/libraries/jobs/record.hpp
+++ b/libraries/jobs/record.hpp
@@ -20,29 +20,29 @@
                                     std::int64_t shard);
 
 /// A new owner begins. Records of lower epochs that come after it are void.
-struct opened
+struct shard_opened
 {
     std::string instance;
     /// Counts the owners; the attempt numbers of each lie above those of all
     /// before it.
     std::int32_t term{0};
 
-    friend bool operator==(opened const&, opened const&) = default;
+    friend bool operator==(shard_opened const&, shard_opened const&) = default;
 };
 
 /// The job will be run; its caller may be told so.
-struct accepted
+struct job_accepted
 {
     std::string job;
     model::job_request request;
     /// Microseconds since 1970 in UTC, for people and for ageing out.
     std::int64_t at_us{0};
 
-    friend bool operator==(accepted const&, accepted const&) = default;
+    friend bool operator==(job_accepted const&, job_accepted const&) = default;
 };
 
 /// An attempt that must not run twice is about to be sent to a rack's owner.
-struct intent
+struct start_intent
 {
     model::attempt_id attempt;
     /// The rack, and its owner's epoch as far as is known. While that owner
@@ -51,7 +51,7 @@
     std::string group;
     std::int64_t group_epoch{-1};
 
-    friend bool operator==(intent const&, intent const&) = default;
+    friend bool operator==(start_intent const&, start_intent const&) = default;
 };
 
 /// A task has succeeded and is not run again.
@@ -63,45 +63,52 @@
 };
 
 /// The job's final state.
-struct ended
+struct job_ended
 {
     std::string job;
     model::job_state state{model::job_state::succeeded};
     std::string detail;
     std::int64_t at_us{0};
 
-    friend bool operator==(ended const&, ended const&) = default;
+    friend bool operator==(job_ended const&, job_ended const&) = default;
 };
 
 /// One job again, before retention drops the records that made it.
-struct kept
+struct job_snapshot
 {
     std::string job;
     model::job_request request;
     std::int64_t accepted_at_us{0};
     std::vector<std::int32_t> done;
-    std::vector<intent> intents;
+    std::vector<start_intent> intents;
     model::job_state state{model::job_state::queued};
     std::string detail;
     std::int64_t ended_at_us{0};
 
-    friend bool operator==(kept const&, kept const&) = default;
+    friend bool operator==(job_snapshot const&, job_snapshot const&) = default;
 };
 
-using record = std::variant<opened, accepted, intent, task_done, ended, kept>;
+using record = std::variant<shard_opened,
+                            job_accepted,
+                            start_intent,
+                            task_done,
+                            job_ended,
+                            job_snapshot>;
 
 /// A record and the epoch of the owner that wrote it.
-struct stamped
+struct stamped_record
 {
     std::int64_t epoch{0};
     record value;
 
-    friend bool operator==(stamped const&, stamped const&) = default;
+    friend bool operator==(stamped_record const&,
+                           stamped_record const&) = default;
 };
 
-[[nodiscard]] Json::Value to_json(stamped const& it);
+[[nodiscard]] Json::Value to_json(stamped_record const& it);
 
 /// Fails with `invalid`.
-[[nodiscard]] base::result<stamped> stamped_from(Json::Value const& it);
+[[nodiscard]] base::result<stamped_record>
+stamped_record_from(Json::Value const& it);
 
 } // namespace berylhill::jobs
