--- a/libraries/entry/worker_group_actor.cpp
+++ b/libraries/entry/worker_group_actor.cpp
@@ -130,7 +130,7 @@
         std::map<std::string, base::instant> lapses_at;
         for (auto const& it : m_workers)
         {
-            lapses_at.emplace(it.first, it.second.lease.lapses_at());
+            lapses_at.emplace(it.first, it.second.lease.expires_at());
         }
         m_barrier.emplace(std::move(lapses_at));
     }
@@ -192,7 +192,7 @@
     m_workers.erase(worker);
     if (m_barrier)
     {
-        m_barrier->dropped(worker);
+        m_barrier->worker_removed(worker);
     }
 }
 
@@ -213,12 +213,13 @@
                        base::from_seconds(m_node.settings.workers.heartbeat_s);
     for (auto& it : m_workers)
     {
-        auto const answered = it.second.lease.answered_at();
+        auto const answered = it.second.lease.last_answer_at();
         if (answered && now - *answered > quiet)
         {
             m_ledger.set_silent(it.first, true);
         }
-        if (it.second.lapse_seen || !it.second.lease.lapsed(now) || !acting())
+        if (it.second.lapse_seen || !it.second.lease.is_expired(now) ||
+            !acting())
         {
             continue;
         }
--- a/libraries/entry/worker_group_exchange.cpp
+++ b/libraries/entry/worker_group_exchange.cpp
@@ -62,7 +62,7 @@
     auto const until = it.lease.renew_until();
     auto const request = std::make_shared<platform::worker_request const>(
         it.outbox.request(m_epoch, until));
-    it.lease.sent(until);
+    it.lease.renewal_sent(until);
     auto const self = caf::actor_cast<caf::actor>(this);
     m_node.worker_io.post(
         [this_node = &m_node, self, unit = m_unit, epoch = m_epoch,
@@ -117,9 +117,9 @@
     }
     auto const now = m_node.clock.now();
     auto const& answer = it.answer.value();
-    auto const news = state.lease.answered(answer.incarnation, answer.clock,
-                                           it.sent_at, it.received_at);
-    if (news == lease::worker_news::overtaken)
+    auto const news = state.lease.answer_received(
+        answer.incarnation, answer.clock, it.sent_at, it.received_at);
+    if (news == lease::answer_status::stale)
     {
         return;
     }
@@ -137,7 +137,7 @@
     settle_request(it.worker, *it.request, answer, now);
     if (m_barrier)
     {
-        m_barrier->answered(it.worker);
+        m_barrier->inventory_received(it.worker);
     }
     if (state.outbox.urgent())
     {
--- a/libraries/lease/inventory_barrier.cpp
+++ b/libraries/lease/inventory_barrier.cpp
@@ -6,17 +6,17 @@
 {
 
 inventory_barrier::inventory_barrier(
-    std::map<std::string, base::instant> lapses_at)
-    : m_missing{std::move(lapses_at)}
+    std::map<std::string, base::instant> expires_at)
+    : m_missing{std::move(expires_at)}
 {
 }
 
-void inventory_barrier::answered(std::string const& worker)
+void inventory_barrier::inventory_received(std::string const& worker)
 {
     m_missing.erase(worker);
 }
 
-void inventory_barrier::dropped(std::string const& worker)
+void inventory_barrier::worker_removed(std::string const& worker)
 {
     m_missing.erase(worker);
 }
@@ -29,9 +29,9 @@
 std::vector<std::string> inventory_barrier::missing(base::instant now) const
 {
     std::vector<std::string> names;
-    for (auto const& [name, lapses_at] : m_missing)
+    for (auto const& [name, expires_at] : m_missing)
     {
-        if (now < lapses_at)
+        if (now < expires_at)
         {
             names.push_back(name);
         }
--- a/libraries/lease/inventory_barrier.hpp
+++ b/libraries/lease/inventory_barrier.hpp
@@ -22,11 +22,11 @@
 public:
     /// `lapses_at`: when the leases of each of the group's workers have lapsed
     /// for sure (`worker_lease::lapses_at`).
-    explicit inventory_barrier(std::map<std::string, base::instant> lapses_at);
+    explicit inventory_barrier(std::map<std::string, base::instant> expires_at);
 
-    void answered(std::string const& worker);
+    void inventory_received(std::string const& worker);
     /// The platform's list does not have it any more.
-    void dropped(std::string const& worker);
+    void worker_removed(std::string const& worker);
 
     /// Placements in the group may begin.
     [[nodiscard]] bool is_open(base::instant now) const;
--- a/libraries/lease/worker_lease.cpp
+++ b/libraries/lease/worker_lease.cpp
@@ -24,25 +24,25 @@
     return m_last ? m_last->clock + m_options.length.count() : 0;
 }
 
-void worker_lease::sent(std::int64_t renewed_until)
+void worker_lease::renewal_sent(std::int64_t renewed_until)
 {
     m_renewed_until = std::max(m_renewed_until, renewed_until);
 }
 
-worker_news worker_lease::answered(std::string const& incarnation,
-                                   std::int64_t clock,
-                                   base::instant sent_at,
-                                   base::instant received_at)
+answer_status worker_lease::answer_received(std::string const& incarnation,
+                                            std::int64_t clock,
+                                            base::instant sent_at,
+                                            base::instant received_at)
 {
     if (incarnation == m_replaced)
     {
-        return worker_news::overtaken;
+        return answer_status::stale;
     }
     if (!m_last)
     {
         m_incarnation = incarnation;
         m_last = reading{clock, sent_at, received_at};
-        return worker_news::same_process;
+        return answer_status::same_process;
     }
     if (incarnation != m_incarnation)
     {
@@ -51,17 +51,17 @@
         m_replaced = std::exchange(m_incarnation, incarnation);
         m_last = reading{clock, sent_at, received_at};
         m_renewed_until = 0;
-        return worker_news::new_process;
+        return answer_status::new_process;
     }
     if (clock < m_last->clock)
     {
-        return worker_news::overtaken;
+        return answer_status::stale;
     }
     m_last = reading{clock, sent_at, received_at};
-    return worker_news::same_process;
+    return answer_status::same_process;
 }
 
-base::instant worker_lease::lapses_at() const
+base::instant worker_lease::expires_at() const
 {
     // Every earlier owner's renewal named a clock that had been read before
     // `m_since`, plus the length.
@@ -77,7 +77,8 @@
     return std::max(by_others, by_us);
 }
 
-std::optional<clock_bounds> worker_lease::clock_at(base::instant now) const
+std::optional<clock_bounds>
+worker_lease::estimate_clock(base::instant now) const
 {
     if (!m_last)
     {
@@ -90,7 +91,7 @@
                         m_last->clock + stretched(most).count()};
 }
 
-std::optional<base::instant> worker_lease::answered_at() const
+std::optional<base::instant> worker_lease::last_answer_at() const
 {
     if (!m_last)
     {
@@ -101,7 +102,7 @@
 
 base::duration worker_lease::stretched(base::duration it) const
 {
-    return it + it * m_options.rate_error_ppm / s_million;
+    return it + it * m_options.max_drift_ppm / s_million;
 }
 
 } // namespace berylhill::lease
--- a/libraries/lease/worker_lease.hpp
+++ b/libraries/lease/worker_lease.hpp
@@ -18,21 +18,21 @@
     /// stopping.
     base::duration margin{std::chrono::milliseconds{500}};
     /// How much the clocks' rates may differ, in millionths.
-    std::int64_t rate_error_ppm{500};
+    std::int64_t max_drift_ppm{500};
 
     friend auto operator<=>(lease_options const&,
                             lease_options const&) = default;
 };
 
 /// What an answer of a worker showed.
-enum class worker_news : std::uint8_t
+enum class answer_status : std::uint8_t
 {
     same_process,
     /// The process began anew; whatever ran there before is gone.
     new_process,
     /// An answer that was overtaken by a later one, or is of a process that
     /// has been replaced; it tells nothing.
-    overtaken,
+    stale,
 };
 
 /// Bounds of a worker's clock at one instant of ours.
@@ -61,26 +61,27 @@
     [[nodiscard]] std::int64_t renew_until() const noexcept;
 
     /// A request with this renewal is sent now, or may have been.
-    void sent(std::int64_t renewed_until);
+    void renewal_sent(std::int64_t renewed_until);
 
     /// A whole answer to the request sent at `sent_at`.
-    worker_news answered(std::string const& incarnation,
-                         std::int64_t clock,
-                         base::instant sent_at,
-                         base::instant received_at);
+    answer_status answer_received(std::string const& incarnation,
+                                  std::int64_t clock,
+                                  base::instant sent_at,
+                                  base::instant received_at);
 
     /// The instant from which no task of this worker can run any more if it
     /// stays silent.
-    [[nodiscard]] base::instant lapses_at() const;
+    [[nodiscard]] base::instant expires_at() const;
 
     /// The silent worker's tasks have lapsed for sure.
-    [[nodiscard]] bool lapsed(base::instant now) const
+    [[nodiscard]] bool is_expired(base::instant now) const
     {
-        return now >= lapses_at();
+        return now >= expires_at();
     }
 
     /// Empty before the first answer.
-    [[nodiscard]] std::optional<clock_bounds> clock_at(base::instant now) const;
+    [[nodiscard]] std::optional<clock_bounds>
+    estimate_clock(base::instant now) const;
 
     [[nodiscard]] bool has_answered() const noexcept
     {
@@ -91,7 +92,7 @@
         return m_incarnation;
     }
     /// When the last answer came; empty before the first.
-    [[nodiscard]] std::optional<base::instant> answered_at() const;
+    [[nodiscard]] std::optional<base::instant> last_answer_at() const;
 
     friend bool operator==(worker_lease const&, worker_lease const&) = default;
 
--- a/tests/lease/worker_lease_test.cpp
+++ b/tests/lease/worker_lease_test.cpp
@@ -19,7 +19,7 @@
 
 lease_options const s_options{.length = std::chrono::seconds{10},
                               .margin = std::chrono::milliseconds{500},
-                              .rate_error_ppm = 500};
+                              .max_drift_ppm = 500};
 
 } // namespace
 
@@ -33,16 +33,16 @@
 {
     worker_lease it{s_options, s_start};
     BOOST_TEST(it.renew_until() == 0);
-    it.sent(it.renew_until());
-    it.answered("a", s_clock, after(0), after(1));
+    it.renewal_sent(it.renew_until());
+    it.answer_received("a", s_clock, after(0), after(1));
     BOOST_TEST(it.renew_until() == s_clock + 10'000'000);
     // Sent again and again, unanswered: the lease gets no longer.
     for (int i = 2; i < 9; ++i)
     {
-        it.sent(it.renew_until());
+        it.renewal_sent(it.renew_until());
     }
-    BOOST_TEST(!it.lapsed(after(11.5)));
-    BOOST_TEST(it.lapsed(after(11.6)));
+    BOOST_TEST(!it.is_expired(after(11.5)));
+    BOOST_TEST(it.is_expired(after(11.6)));
 }
 
 // A renewal lay in a buffer, and the worker took it after its next answer had
@@ -50,10 +50,10 @@
 BOOST_AUTO_TEST_CASE(an_overtaken_answer_changes_nothing)
 {
     worker_lease it{s_options, s_start};
-    it.answered("a", s_clock + 2'000'000, after(2), after(2));
+    it.answer_received("a", s_clock + 2'000'000, after(2), after(2));
     auto const before = it;
-    BOOST_CHECK(it.answered("a", s_clock, after(0), after(3)) ==
-                worker_news::overtaken);
+    BOOST_CHECK(it.answer_received("a", s_clock, after(0), after(3)) ==
+                answer_status::stale);
     BOOST_CHECK(it == before);
 }
 
@@ -62,12 +62,12 @@
 BOOST_AUTO_TEST_CASE(a_new_process_is_told_from_the_old_one)
 {
     worker_lease it{s_options, s_start};
-    BOOST_CHECK(it.answered("a", s_clock, after(0), after(0)) ==
-                worker_news::same_process);
-    BOOST_CHECK(it.answered("b", 7, after(1), after(1)) ==
-                worker_news::new_process);
-    BOOST_CHECK(it.answered("a", s_clock + 1, after(0), after(2)) ==
-                worker_news::overtaken);
+    BOOST_CHECK(it.answer_received("a", s_clock, after(0), after(0)) ==
+                answer_status::same_process);
+    BOOST_CHECK(it.answer_received("b", 7, after(1), after(1)) ==
+                answer_status::new_process);
+    BOOST_CHECK(it.answer_received("a", s_clock + 1, after(0), after(2)) ==
+                answer_status::stale);
     BOOST_TEST(it.renew_until() == 7 + 10'000'000);
 }
 
@@ -76,16 +76,16 @@
 BOOST_AUTO_TEST_CASE(a_worker_never_heard_lapses_after_the_takeover)
 {
     worker_lease const it{s_options, s_start};
-    BOOST_TEST(!it.lapsed(after(10.4)));
-    BOOST_TEST(it.lapsed(after(10.6)));
+    BOOST_TEST(!it.is_expired(after(10.4)));
+    BOOST_TEST(it.is_expired(after(10.6)));
 }
 
 BOOST_AUTO_TEST_CASE(the_workers_clock_is_known_within_the_exchange)
 {
     worker_lease it{s_options, s_start};
-    BOOST_TEST(!it.clock_at(s_start).has_value());
-    it.answered("a", s_clock, after(0), after(0.25));
-    auto const bounds = it.clock_at(after(1));
+    BOOST_TEST(!it.estimate_clock(s_start).has_value());
+    it.answer_received("a", s_clock, after(0), after(0.25));
+    auto const bounds = it.estimate_clock(after(1));
     BOOST_REQUIRE(bounds.has_value());
     BOOST_TEST(bounds->earliest == s_clock + 749'625);
     BOOST_TEST(bounds->latest == s_clock + 1'000'500);
@@ -97,9 +97,9 @@
 {
     inventory_barrier it{
         {{"w1", after(10)}, {"w2", after(10)}, {"w3", after(12)}}};
-    it.answered("w1");
+    it.inventory_received("w1");
     BOOST_TEST(it.missing(after(1)).size() == 2U);
-    it.dropped("w3");
+    it.worker_removed("w3");
     BOOST_TEST(!it.is_open(after(9)));
     BOOST_TEST(it.is_open(after(10)));
 }
