--- a/libraries/entry/call_front.cpp
+++ b/libraries/entry/call_front.cpp
@@ -50,9 +50,9 @@
     auto const now = m_node.clock.now();
     std::vector<std::string> live;
     m_node.owned.with(
-        [&](ownership::tenure const& it)
+        [&](ownership::participant const& it)
         {
-            for (auto const& member : it.live(now))
+            for (auto const& member : it.live_members(now))
             {
                 live.push_back(member.incarnation);
             }
--- a/libraries/entry/call_keys.cpp
+++ b/libraries/entry/call_keys.cpp
@@ -200,7 +200,7 @@
 {
     std::set<std::string> members;
     m_node.owned.with(
-        [&](ownership::tenure const& it)
+        [&](ownership::participant const& it)
         {
             for (auto const& member : it.table().members())
             {
--- a/libraries/entry/configuration_keeper.cpp
+++ b/libraries/entry/configuration_keeper.cpp
@@ -86,9 +86,9 @@
 {
     auto const now = m_node.clock.now();
     return m_node.owned.with(
-        [&](ownership::tenure const& it)
+        [&](ownership::participant const& it)
         {
-            auto const live = it.live(now);
+            auto const live = it.live_members(now);
             return !live.empty() &&
                    std::min_element(live.begin(), live.end())->incarnation ==
                        m_node.incarnation;
--- a/libraries/entry/contract_api.cpp
+++ b/libraries/entry/contract_api.cpp
@@ -79,9 +79,9 @@
     auto const now = self.clock.now();
     std::set<std::string> live;
     self.owned.with(
-        [&](ownership::tenure const& it)
+        [&](ownership::participant const& it)
         {
-            for (auto const& member : it.live(now))
+            for (auto const& member : it.live_members(now))
             {
                 live.insert(member.incarnation);
             }
--- a/libraries/entry/entry.cpp
+++ b/libraries/entry/entry.cpp
@@ -161,7 +161,7 @@
         self.clock.now() + base::from_seconds(self.settings.stop.drain_s);
     auto const stopped = [&]
     {
-        return self.owned.with([](ownership::tenure const& it)
+        return self.owned.with([](ownership::participant const& it)
                                { return it.stopped(); });
     };
     while (!stopped() && self.clock.now() < until)
--- a/libraries/entry/entry_node.cpp
+++ b/libraries/entry/entry_node.cpp
@@ -10,19 +10,19 @@
 namespace
 {
 
-ownership::tenure_options tenure_options(settings::entry_settings const& it,
-                                         std::string incarnation)
+ownership::participant_options
+tenure_options(settings::entry_settings const& it, std::string incarnation)
 {
-    ownership::tenure_options out;
+    ownership::participant_options out;
     out.incarnation = std::move(incarnation);
     out.instance = it.instance;
     out.zone = it.zone;
-    out.right = base::from_seconds(it.ownership.tenure_s);
-    out.margin = base::from_seconds(it.ownership.tenure_s *
-                                    it.ownership.clock_rate_margin) +
-                 std::chrono::milliseconds{25};
+    out.lease_duration = base::from_seconds(it.ownership.tenure_s);
+    out.clock_margin = base::from_seconds(it.ownership.tenure_s *
+                                          it.ownership.clock_rate_margin) +
+                       std::chrono::milliseconds{25};
     out.suspect_after = base::from_seconds(it.ownership.suspect_s);
-    out.snapshot_period = base::from_seconds(it.platform.snapshot_s);
+    out.snapshot_interval = base::from_seconds(it.platform.snapshot_s);
     return out;
 }
 
--- a/libraries/entry/membership_actor.cpp
+++ b/libraries/entry/membership_actor.cpp
@@ -33,7 +33,7 @@
 {
     Json::Value out{Json::objectValue};
     out["ownership"] =
-        self.owned.with([](ownership::tenure const& it)
+        self.owned.with([](ownership::participant const& it)
                         { return ownership::to_json(it.own_heartbeat()); });
     out["peer"] = self.peer_address;
     out["http"] = self.http_address;
@@ -67,7 +67,7 @@
             send_heartbeats();
             publish();
         },
-        [this](ownership::fetch_list const&) { fetch_list(); },
+        [this](ownership::fetch_entry_list const&) { fetch_list(); },
         [this](list_fetched const& it) { take_list(it); },
         [this](peer_heard const& it) { take_heartbeat(it.value); },
     };
--- a/libraries/entry/messages.hpp
+++ b/libraries/entry/messages.hpp
@@ -8,7 +8,7 @@
 #include <entry/reply.hpp>
 #include <model/endpoint.hpp>
 #include <ownership/message.hpp>
-#include <ownership/tenure.hpp>
+#include <ownership/participant.hpp>
 #include <platform/worker_link.hpp>
 #include <stream/log_reader.hpp>
 
@@ -47,7 +47,7 @@
 struct ownership_append_ended
 {
     std::uint64_t ticket{0};
-    ownership::append_end end{ownership::append_end::written};
+    ownership::append_outcome end{ownership::append_outcome::written};
 };
 
 struct heartbeat_heard
@@ -234,7 +234,7 @@
 
 } // namespace berylhill::entry
 
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(berylhill::ownership::fetch_list)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(berylhill::ownership::fetch_entry_list)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(berylhill::entry::ownership_page)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(berylhill::entry::ownership_append_ended)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(berylhill::entry::heartbeat_heard)
--- a/libraries/entry/operator_api.cpp
+++ b/libraries/entry/operator_api.cpp
@@ -19,7 +19,7 @@
 {
     Json::Value out{Json::arrayValue};
     self.owned.with(
-        [&](ownership::tenure const& it)
+        [&](ownership::participant const& it)
         {
             for (auto const& unit : it.table().units())
             {
--- a/libraries/entry/ownership_actor.cpp
+++ b/libraries/entry/ownership_actor.cpp
@@ -35,7 +35,7 @@
     auto const change = [this](auto const& step)
     {
         auto const now = m_node.clock.now();
-        run(m_node.owned.with([&](ownership::tenure& it)
+        run(m_node.owned.with([&](ownership::participant& it)
                               { return step(it, now); }));
         m_units.reconcile();
     };
@@ -54,33 +54,35 @@
         {
             change(
                 [&](auto& it, base::instant now) {
-                    return it.append_settled(message.ticket, message.end, now);
+                    return it.on_append_settled(message.ticket, message.end,
+                                                now);
                 });
         },
         [change](heartbeat_heard const& message)
         {
             change([&](auto& it, base::instant now)
-                   { return it.heard(message.value, now); });
+                   { return it.on_heartbeat(message.value, now); });
         },
         [change](suspicion_heard const& message)
         {
             change([&](auto& it, base::instant now)
-                   { return it.suspected(message.value, now); });
+                   { return it.on_suspicion(message.value, now); });
         },
         [change](vouch_asked const& message)
         {
             change([&](auto& it, base::instant now)
-                   { return it.vouch_asked(message.value, now); });
+                   { return it.on_vouch_request(message.value, now); });
         },
         [change](vouch_answered const& message)
         {
             change([&](auto& it, base::instant now)
-                   { return it.vouch_answered(message.value, now); });
+                   { return it.on_vouch_answer(message.value, now); });
         },
         [change](entries_listed const& message)
         {
-            change([&](auto& it, base::instant)
-                   { return it.listed(message.instances, message.as_of); });
+            change(
+                [&](auto& it, base::instant)
+                { return it.on_entry_list(message.instances, message.as_of); });
         },
         [change](units_listed const& message)
         {
@@ -111,13 +113,13 @@
     }
     auto const now = m_node.clock.now();
     run(m_node.owned.with(
-        [&](ownership::tenure& it)
+        [&](ownership::participant& it)
         {
             if (page.missed)
             {
-                it.log_gap(page.missed->to);
+                it.on_log_gap(page.missed->to);
             }
-            return it.log_read(records, page.next, page.fresh_as_of, now);
+            return it.on_log_read(records, page.next, page.fresh_as_of, now);
         }));
 }
 
@@ -129,7 +131,7 @@
     }
 }
 
-void ownership_actor::perform(ownership::append_entry const& it)
+void ownership_actor::perform(ownership::append_record const& it)
 {
     auto const self = caf::actor_cast<caf::actor>(this);
     auto const ticket = it.ticket;
@@ -141,15 +143,16 @@
             {
                 caf::anon_send(self,
                                ownership_append_ended{
-                                   ticket, ownership::append_end::written});
+                                   ticket, ownership::append_outcome::written});
                 return;
             }
             // An unknown end is left to what the log shows.
             if (ended.error().code != base::failure_code::outcome_unknown)
             {
                 caf::anon_send(
-                    self, ownership_append_ended{
-                              ticket, ownership::append_end::never_written});
+                    self,
+                    ownership_append_ended{
+                        ticket, ownership::append_outcome::never_written});
             }
         });
 }
@@ -172,9 +175,9 @@
                      ownership::to_json(it.message));
 }
 
-void ownership_actor::perform(ownership::fetch_list const&)
+void ownership_actor::perform(ownership::fetch_entry_list const&)
 {
-    caf::anon_send(m_node.membership, ownership::fetch_list{});
+    caf::anon_send(m_node.membership, ownership::fetch_entry_list{});
 }
 
 void ownership_actor::send_to_instance(std::string const& instance,
--- a/libraries/entry/ownership_actor.hpp
+++ b/libraries/entry/ownership_actor.hpp
@@ -22,11 +22,11 @@
 private:
     void take_page(stream::reader_page const& page);
     void run(ownership::actions const& todo);
-    void perform(ownership::append_entry const& it);
+    void perform(ownership::append_record const& it);
     void perform(ownership::send_vouch_request const& it);
     void perform(ownership::send_vouch_answer const& it);
     void perform(ownership::send_suspicion const& it);
-    void perform(ownership::fetch_list const& it);
+    void perform(ownership::fetch_entry_list const& it);
     void send_to_instance(std::string const& instance,
                           std::string const& method,
                           Json::Value const& message);
--- a/libraries/entry/rights.hpp
+++ b/libraries/entry/rights.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <ownership/tenure.hpp>
+#include <ownership/participant.hpp>
 
 #include <mutex>
 #include <optional>
@@ -14,7 +14,7 @@
 class rights
 {
 public:
-    rights(ownership::tenure_options options, base::instant now)
+    rights(ownership::participant_options options, base::instant now)
         : m_tenure{std::move(options), now}
     {
     }
@@ -32,7 +32,7 @@
                                                       base::instant now) const
     {
         std::lock_guard const lock{m_mutex};
-        return m_tenure.may_act(unit, now);
+        return m_tenure.active_epoch(unit, now);
     }
 
     /// The incarnation that owns the unit; empty where none does.
@@ -52,7 +52,7 @@
 
 private:
     mutable std::mutex m_mutex;
-    ownership::tenure m_tenure;
+    ownership::participant m_tenure;
 };
 
 } // namespace berylhill::entry
--- a/libraries/entry/unit_supervisor.cpp
+++ b/libraries/entry/unit_supervisor.cpp
@@ -46,12 +46,12 @@
     std::map<std::string, std::int64_t> acting;
     std::set<std::string> owned;
     m_node.owned.with(
-        [&](ownership::tenure const& it)
+        [&](ownership::participant const& it)
         {
-            for (auto const& unit : it.owned())
+            for (auto const& unit : it.owned_units())
             {
                 owned.insert(unit);
-                if (auto const epoch = it.may_act(unit, now))
+                if (auto const epoch = it.active_epoch(unit, now))
                 {
                     acting.emplace(unit, *epoch);
                 }
--- a/libraries/ownership/claim_table.cpp
+++ b/libraries/ownership/claim_table.cpp
@@ -27,12 +27,12 @@
     return done;
 }
 
-void claim_table::read_through(std::int64_t offset)
+void claim_table::advance_to(std::int64_t offset)
 {
     m_next = std::max(m_next, offset);
 }
 
-void claim_table::restart(std::int64_t first)
+void claim_table::reset(std::int64_t first)
 {
     m_complete = false;
     m_first = first;
@@ -43,7 +43,7 @@
     ++m_version;
 }
 
-void claim_table::take_as_complete()
+void claim_table::assume_complete()
 {
     m_complete = true;
     auto const held_back = std::move(m_held_back);
@@ -187,7 +187,7 @@
     }
     std::erase_if(m_held_back,
                   [&](auto const& held) { return held.first < it.through; });
-    take_as_complete();
+    assume_complete();
     return {true, false};
 }
 
--- a/libraries/ownership/claim_table.hpp
+++ b/libraries/ownership/claim_table.hpp
@@ -71,15 +71,15 @@
     applied apply(std::int64_t offset, record const& it);
 
     /// All records before `offset` have been applied.
-    void read_through(std::int64_t offset);
+    void advance_to(std::int64_t offset);
 
     /// Forgets everything; records before `first` are lost, so the table is
     /// not complete until a snapshot comes.
-    void restart(std::int64_t first);
+    void reset(std::int64_t first);
 
     /// Takes what was read since `restart` as all there is: the stream's end
     /// was reached and nobody has kept an older state.
-    void take_as_complete();
+    void assume_complete();
 
     [[nodiscard]] bool complete() const noexcept
     {
--- a/libraries/ownership/tenure.cpp
+++ b/libraries/ownership/participant.cpp
@@ -1,4 +1,4 @@
-#include <ownership/tenure.hpp>
+#include <ownership/participant.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -6,7 +6,7 @@
 namespace berylhill::ownership
 {
 
-tenure::tenure(tenure_options options, base::instant now)
+participant::participant(participant_options options, base::instant now)
     : m_options{std::move(options)}
     , m_table{m_options.rules.joiners}
     , m_started{now}
@@ -15,24 +15,24 @@
 {
 }
 
-actions tenure::set_units(std::set<std::string> units, base::instant now)
+actions participant::set_units(std::set<std::string> units, base::instant now)
 {
     m_units = std::move(units);
     m_scanned = false;
     return tick(now);
 }
 
-actions
-tenure::log_read(std::vector<std::pair<std::int64_t, record>> const& records,
-                 std::int64_t next,
-                 std::optional<base::instant> fresh_as_of,
-                 base::instant now)
+actions participant::on_log_read(
+    std::vector<std::pair<std::int64_t, record>> const& records,
+    std::int64_t next,
+    std::optional<base::instant> fresh_as_of,
+    base::instant now)
 {
     for (auto const& [offset, it] : records)
     {
         fold(offset, it, now);
     }
-    m_table.read_through(next);
+    m_table.advance_to(next);
     choose_watched();
     if (!fresh_as_of)
     {
@@ -40,11 +40,12 @@
     }
     if (!m_table.complete())
     {
-        m_table.take_as_complete();
-        m_trust_free_from = now + m_options.right + m_options.margin;
+        m_table.assume_complete();
+        m_trust_free_from =
+            now + m_options.lease_duration + m_options.clock_margin;
     }
     m_log_right_until =
-        std::max(m_log_right_until, *fresh_as_of + m_options.right);
+        std::max(m_log_right_until, *fresh_as_of + m_options.lease_duration);
     // What was written before this read, and is not among what was read, was
     // lost in a gap or did not count.
     for (auto it = m_written.begin(); it != m_written.end();)
@@ -59,9 +60,9 @@
     return tick(now);
 }
 
-void tenure::log_gap(std::int64_t first)
+void participant::on_log_gap(std::int64_t first)
 {
-    m_table.restart(first);
+    m_table.reset(first);
     m_active_from.clear();
     m_orphaned.clear();
     m_log_right_until = {};
@@ -70,7 +71,7 @@
     m_scanned = false;
 }
 
-void tenure::fold(std::int64_t offset, record const& it, base::instant now)
+void participant::fold(std::int64_t offset, record const& it, base::instant now)
 {
     auto const was_member = is_member();
     auto const done = m_table.apply(offset, it);
@@ -111,9 +112,9 @@
     }
 }
 
-void tenure::note_change(std::string const& unit,
-                         applied const& done,
-                         base::instant now)
+void participant::note_change(std::string const& unit,
+                              applied const& done,
+                              base::instant now)
 {
     if (!done.counted)
     {
@@ -130,10 +131,10 @@
     // which was before now; `margin` allows for clocks of unlike rates.
     auto const is_free = done.unit_was_free && now >= m_trust_free_from;
     m_active_from[unit] =
-        is_free ? now : now + m_options.right + m_options.margin;
+        is_free ? now : now + m_options.lease_duration + m_options.clock_margin;
 }
 
-void tenure::settle_own(record const& it)
+void participant::settle_own(record const& it)
 {
     for (auto const& [ticket, own] : m_unresolved)
     {
@@ -145,21 +146,22 @@
     }
 }
 
-void tenure::forget(std::uint64_t ticket)
+void participant::forget(std::uint64_t ticket)
 {
     m_unresolved.erase(ticket);
     m_written.erase(ticket);
 }
 
-actions
-tenure::append_settled(std::uint64_t ticket, append_end end, base::instant now)
+actions participant::on_append_settled(std::uint64_t ticket,
+                                       append_outcome end,
+                                       base::instant now)
 {
     auto const found = m_unresolved.find(ticket);
     if (found == m_unresolved.end())
     {
         return {};
     }
-    if (end == append_end::written)
+    if (end == append_outcome::written)
     {
         m_written.emplace(ticket, now);
         return {};
@@ -172,7 +174,7 @@
     return {};
 }
 
-actions tenure::heard(heartbeat const& it, base::instant now)
+actions participant::on_heartbeat(heartbeat const& it, base::instant now)
 {
     auto& known = m_peers[it.incarnation];
     known.instance = it.instance;
@@ -181,13 +183,13 @@
     return {};
 }
 
-actions tenure::suspected(suspicion const& it, base::instant now)
+actions participant::on_suspicion(suspicion const& it, base::instant now)
 {
     m_suspected[it.silent][it.from] = now;
     return {};
 }
 
-actions tenure::vouch_asked(vouch_request const& it, base::instant)
+actions participant::on_vouch_request(vouch_request const& it, base::instant)
 {
     vouch_answer answer{m_options.incarnation, m_options.instance, it.round,
                         m_table.changed_since(it.table_next)};
@@ -204,7 +206,7 @@
     return {send_vouch_answer{it.instance, std::move(answer)}};
 }
 
-actions tenure::vouch_answered(vouch_answer const& it, base::instant)
+actions participant::on_vouch_answer(vouch_answer const& it, base::instant)
 {
     if (!m_round || it.round != m_round->number)
     {
@@ -217,7 +219,8 @@
     return {};
 }
 
-actions tenure::listed(std::set<std::string> instances, base::instant as_of)
+actions participant::on_entry_list(std::set<std::string> instances,
+                                   base::instant as_of)
 {
     if (m_listed_as_of && as_of < *m_listed_as_of)
     {
@@ -230,12 +233,14 @@
     return {};
 }
 
-void tenure::ask_vouches(base::instant now, actions& out)
+void participant::ask_vouches(base::instant now, actions& out)
 {
-    auto const log_is_late = m_log_right_until - now < m_options.right / 2;
+    auto const log_is_late =
+        m_log_right_until - now < m_options.lease_duration / 2;
     auto const is_asking =
-        m_round && now - m_round->started < m_options.right / 4;
-    auto const is_settled = m_vouched_until - now > m_options.right / 2;
+        m_round && now - m_round->started < m_options.lease_duration / 4;
+    auto const is_settled =
+        m_vouched_until - now > m_options.lease_duration / 2;
     if (!log_is_late || is_asking || is_settled || m_active_from.empty() ||
         !is_member())
     {
@@ -256,7 +261,7 @@
     {
         out.emplace_back(send_vouch_request{it, request});
     }
-    out.emplace_back(fetch_list{});
+    out.emplace_back(fetch_entry_list{});
     finish_round();
 }
 
@@ -264,7 +269,7 @@
 /// log: it shows as two processes acting for one unit. Only a member that this
 /// owner knows can have made the first such claim (`claim_table`), and it says
 /// so, or is still missing here.
-bool tenure::all_members_answered() const
+bool participant::all_members_answered() const
 {
     for (auto const& [incarnation, it] : m_table.members())
     {
@@ -281,7 +286,7 @@
 /// such a member won may have gone on to a process that this owner does not
 /// know; but who acts has been on the list since before its claim, so it is
 /// on a list fetched after the round began, and says so itself.
-bool tenure::all_listed_answered() const
+bool participant::all_listed_answered() const
 {
     if (!m_listed_as_of || *m_listed_as_of < m_round->started)
     {
@@ -305,7 +310,7 @@
            std::all_of(m_listed.begin(), m_listed.end(), has_answered);
 }
 
-void tenure::finish_round()
+void participant::finish_round()
 {
     if (!m_round)
     {
@@ -319,13 +324,13 @@
         return;
     }
     m_vouched_until =
-        std::max(m_vouched_until, m_round->started + m_options.right);
+        std::max(m_vouched_until, m_round->started + m_options.lease_duration);
     m_doubtful = std::move(m_round->doubtful);
     m_round.reset();
 }
 
-std::optional<std::int64_t> tenure::may_act(std::string const& unit,
-                                            base::instant now) const
+std::optional<std::int64_t> participant::active_epoch(std::string const& unit,
+                                                      base::instant now) const
 {
     auto const active = m_active_from.find(unit);
     if (active == m_active_from.end() || now < active->second ||
@@ -349,7 +354,7 @@
     return current->epoch;
 }
 
-std::vector<std::string> tenure::owned() const
+std::vector<std::string> participant::owned_units() const
 {
     std::vector<std::string> names;
     for (auto const& [name, it] : m_table.units())
@@ -362,7 +367,7 @@
     return names;
 }
 
-std::optional<std::string> tenure::owner_of(std::string const& unit) const
+std::optional<std::string> participant::owner_of(std::string const& unit) const
 {
     auto const* it = m_table.owner_of(unit);
     if (it == nullptr || it->released)
@@ -372,7 +377,7 @@
     return it->incarnation;
 }
 
-heartbeat tenure::own_heartbeat() const
+heartbeat participant::own_heartbeat() const
 {
     return {m_options.incarnation, m_options.instance, m_options.zone,
             m_stopping};
--- a/libraries/ownership/tenure.hpp
+++ b/libraries/ownership/participant.hpp
@@ -52,16 +52,16 @@
     friend auto operator<=>(safety_rules const&, safety_rules const&) = default;
 };
 
-struct tenure_options
+struct participant_options
 {
     std::string incarnation;
     std::string instance;
     std::string zone;
     /// How long a right lasts, from before the exchange that granted it.
-    base::duration right{std::chrono::milliseconds{2'500}};
+    base::duration lease_duration{std::chrono::milliseconds{2'500}};
     /// Added to `right` before a claim over a living owner is acted on, for
     /// clocks that run at unlike rates.
-    base::duration margin{std::chrono::milliseconds{50}};
+    base::duration clock_margin{std::chrono::milliseconds{50}};
     /// A process not heard for this long is taken for dead.
     base::duration suspect_after{std::chrono::milliseconds{1'200}};
     /// A process beats to at most this many others. They tell the rest when it
@@ -85,23 +85,24 @@
     double most_load{1.25};
     base::duration move_every{std::chrono::seconds{2}};
     /// Records after which the table is written again.
-    std::int64_t snapshot_every{2'000};
+    std::int64_t snapshot_records{2'000};
     /// And the time after which it is, whatever was written: well below the
     /// log's retention.
-    base::duration snapshot_period{std::chrono::minutes{10}};
+    base::duration snapshot_interval{std::chrono::minutes{10}};
     safety_rules rules;
 
-    friend auto operator<=>(tenure_options const&,
-                            tenure_options const&) = default;
+    friend auto operator<=>(participant_options const&,
+                            participant_options const&) = default;
 };
 
 /// Append to the ownership stream; answer with `append_settled`.
-struct append_entry
+struct append_record
 {
     std::uint64_t ticket{0};
     record value;
 
-    friend auto operator<=>(append_entry const&, append_entry const&) = default;
+    friend auto operator<=>(append_record const&,
+                            append_record const&) = default;
 };
 
 struct send_vouch_request
@@ -125,9 +126,10 @@
 };
 
 /// Read the platform's list now; answer with `listed`.
-struct fetch_list
+struct fetch_entry_list
 {
-    friend auto operator<=>(fetch_list const&, fetch_list const&) = default;
+    friend auto operator<=>(fetch_entry_list const&,
+                            fetch_entry_list const&) = default;
 };
 
 struct send_suspicion
@@ -140,15 +142,15 @@
                             send_suspicion const&) = default;
 };
 
-using action = std::variant<append_entry,
+using action = std::variant<append_record,
                             send_vouch_request,
                             send_vouch_answer,
                             send_suspicion,
-                            fetch_list>;
+                            fetch_entry_list>;
 using actions = std::vector<action>;
 
 /// How an append of this process ended.
-enum class append_end : std::uint8_t
+enum class append_outcome : std::uint8_t
 {
     written,
     never_written, ///< It is not in the log and never will be.
@@ -163,11 +165,11 @@
 /// log's end or by every member that could have claimed. A claim over a unit
 /// that was not released is acted on only `right + margin` after it was seen
 /// in the log, so not before the older right has ended.
-class tenure
+class participant
 {
 public:
     /// `now` is when the process started to listen.
-    tenure(tenure_options options, base::instant now);
+    participant(participant_options options, base::instant now);
 
     /// The units that should have an owner.
     [[nodiscard]] actions set_units(std::set<std::string> units,
@@ -176,34 +178,35 @@
     /// Records in log order, as read up to `next`. `fresh_as_of` is an instant
     /// before the read, present if it reached the stream's end.
     [[nodiscard]] actions
-    log_read(std::vector<std::pair<std::int64_t, record>> const& records,
-             std::int64_t next,
-             std::optional<base::instant> fresh_as_of,
-             base::instant now);
+    on_log_read(std::vector<std::pair<std::int64_t, record>> const& records,
+                std::int64_t next,
+                std::optional<base::instant> fresh_as_of,
+                base::instant now);
 
     /// Retention dropped what this process had not read.
-    void log_gap(std::int64_t first);
+    void on_log_gap(std::int64_t first);
 
-    [[nodiscard]] actions
-    append_settled(std::uint64_t ticket, append_end end, base::instant now);
+    [[nodiscard]] actions on_append_settled(std::uint64_t ticket,
+                                            append_outcome end,
+                                            base::instant now);
 
-    [[nodiscard]] actions heard(heartbeat const& it, base::instant now);
+    [[nodiscard]] actions on_heartbeat(heartbeat const& it, base::instant now);
 
     /// A watcher does not hear a process.
-    [[nodiscard]] actions suspected(suspicion const& it, base::instant now);
+    [[nodiscard]] actions on_suspicion(suspicion const& it, base::instant now);
 
     /// The instances that get `own_heartbeat` about every 300 ms.
     [[nodiscard]] std::set<std::string> heartbeat_targets() const;
 
     /// The instances on the platform's list, live or leaving; the request was
     /// sent at `as_of`.
-    [[nodiscard]] actions listed(std::set<std::string> instances,
-                                 base::instant as_of);
+    [[nodiscard]] actions on_entry_list(std::set<std::string> instances,
+                                        base::instant as_of);
 
-    [[nodiscard]] actions vouch_asked(vouch_request const& it,
-                                      base::instant now);
-    [[nodiscard]] actions vouch_answered(vouch_answer const& it,
-                                         base::instant now);
+    [[nodiscard]] actions on_vouch_request(vouch_request const& it,
+                                           base::instant now);
+    [[nodiscard]] actions on_vouch_answer(vouch_answer const& it,
+                                          base::instant now);
 
     /// Hand everything over; it is done when `stopped`.
     [[nodiscard]] actions stop(base::instant now);
@@ -214,12 +217,12 @@
     /// The epoch under which this process acts for the unit at `now`, if it
     /// may. Ask immediately before each send: a process that was paused finds
     /// its right lapsed here.
-    [[nodiscard]] std::optional<std::int64_t> may_act(std::string const& unit,
-                                                      base::instant now) const;
+    [[nodiscard]] std::optional<std::int64_t>
+    active_epoch(std::string const& unit, base::instant now) const;
 
     /// The units that this process owns by the table, whether or not it may
     /// act for them now.
-    [[nodiscard]] std::vector<std::string> owned() const;
+    [[nodiscard]] std::vector<std::string> owned_units() const;
 
     /// Where a request for the unit goes: its owner's incarnation.
     [[nodiscard]] std::optional<std::string>
@@ -232,7 +235,7 @@
     [[nodiscard]] heartbeat own_heartbeat() const;
 
     /// Members that have been heard lately, with this process.
-    [[nodiscard]] std::vector<candidate> live(base::instant now) const;
+    [[nodiscard]] std::vector<candidate> live_members(base::instant now) const;
 
     /// All was handed over and the parting is in the log.
     [[nodiscard]] bool stopped() const noexcept
@@ -249,11 +252,11 @@
         return m_vouched_until;
     }
 
-    friend auto operator<=>(tenure const&, tenure const&) = default;
+    friend auto operator<=>(participant const&, participant const&) = default;
 
 private:
     /// Reads the whole state, for the exhaustive test.
-    friend class tenure_inspector;
+    friend class state_digester;
 
     struct peer
     {
@@ -338,7 +341,7 @@
                                        unit_counts& load,
                                        std::size_t most) const;
 
-    tenure_options m_options;
+    participant_options m_options;
     claim_table m_table;
     std::set<std::string> m_units;
     base::instant m_started{};
--- a/libraries/ownership/tenure_plan.cpp
+++ b/libraries/ownership/participant_plan.cpp
@@ -1,5 +1,5 @@
 /// What a tenure wants: taking part, claims, moves, snapshots, parting.
-#include <ownership/tenure.hpp>
+#include <ownership/participant.hpp>
 
 #include <algorithm>
 #include <cmath>
@@ -15,7 +15,7 @@
 
 } // namespace
 
-actions tenure::tick(base::instant now)
+actions participant::tick(base::instant now)
 {
     actions out;
     if (m_left)
@@ -43,7 +43,7 @@
     return out;
 }
 
-actions tenure::stop(base::instant now)
+actions participant::stop(base::instant now)
 {
     if (!m_stopping)
     {
@@ -53,14 +53,14 @@
     return tick(now);
 }
 
-void tenure::append(record it, actions& out)
+void participant::append(record it, actions& out)
 {
     auto const ticket = ++m_last_ticket;
     m_unresolved.emplace(ticket, it);
-    out.emplace_back(append_entry{ticket, std::move(it)});
+    out.emplace_back(append_record{ticket, std::move(it)});
 }
 
-bool tenure::has_pending_claim(std::string const& unit) const
+bool participant::has_pending_claim(std::string const& unit) const
 {
     return std::any_of(m_unresolved.begin(), m_unresolved.end(),
                        [&](auto const& it)
@@ -70,19 +70,19 @@
                        });
 }
 
-bool tenure::is_member() const
+bool participant::is_member() const
 {
     return m_table.members().contains(m_options.incarnation);
 }
 
-bool tenure::log_is_fresh(base::instant now) const
+bool participant::log_is_fresh(base::instant now) const
 {
     return m_table.complete() && now < m_log_right_until;
 }
 
-void tenure::claim_orphans(base::instant now, actions& out)
+void participant::claim_orphans(base::instant now, actions& out)
 {
-    auto alive = live(now);
+    auto alive = live_members(now);
     auto const is_same = m_scanned && m_orphaned.empty() &&
                          m_scanned_version == m_table.version() &&
                          m_scanned_live == alive;
@@ -118,11 +118,11 @@
     m_scanned_live = std::move(alive);
 }
 
-void tenure::claim_one(std::string const& unit,
-                       std::vector<candidate> const& candidates,
-                       unit_counts& load,
-                       base::instant now,
-                       actions& out)
+void participant::claim_one(std::string const& unit,
+                            std::vector<candidate> const& candidates,
+                            unit_counts& load,
+                            base::instant now,
+                            actions& out)
 {
     auto const since = m_orphaned.try_emplace(unit, now).first->second;
     if (has_pending_claim(unit))
@@ -154,10 +154,10 @@
     append(claim{unit, m_options.incarnation, follows}, out);
 }
 
-std::string tenure::taker_of(std::string const& unit,
-                             std::vector<candidate> const& candidates,
-                             unit_counts& load,
-                             std::size_t most) const
+std::string participant::taker_of(std::string const& unit,
+                                  std::vector<candidate> const& candidates,
+                                  unit_counts& load,
+                                  std::size_t most) const
 {
     for (auto const& it : wanted_order(unit, candidates))
     {
@@ -170,19 +170,19 @@
     return {};
 }
 
-void tenure::hand_over(std::string const& unit,
-                       std::string const& successor,
-                       actions& out)
+void participant::hand_over(std::string const& unit,
+                            std::string const& successor,
+                            actions& out)
 {
     m_releasing.insert(unit);
     auto const epoch = m_table.owner_of(unit)->epoch;
     append(release{unit, m_options.incarnation, epoch, successor}, out);
 }
 
-std::vector<std::string> tenure::surplus_units(double mean) const
+std::vector<std::string> participant::surplus_units(double mean) const
 {
     auto const load = counts();
-    auto const own = owned();
+    auto const own = owned_units();
     auto const most = std::ceil(mean * m_options.most_load);
     auto const n = static_cast<double>(own.size());
     auto const has_poor =
@@ -214,10 +214,11 @@
 }
 
 /// Few at a time, so that a cell whose instances come and go is not shuffled.
-void tenure::move_surplus(base::instant now, actions& out)
+void participant::move_surplus(base::instant now, actions& out)
 {
     // A release that meets an outage leaves its unit idle while it is tried.
-    auto const log_is_well = m_log_right_until - now >= m_options.right * 3 / 4;
+    auto const log_is_well =
+        m_log_right_until - now >= m_options.lease_duration * 3 / 4;
     if (now - m_last_move < m_options.move_every || !m_releasing.empty() ||
         m_active_from.empty() || !log_is_well)
     {
@@ -250,11 +251,11 @@
     }
 }
 
-void tenure::write_snapshot(base::instant now, actions& out)
+void participant::write_snapshot(base::instant now, actions& out)
 {
     auto const is_due =
-        m_table.next() - m_snapshot_through >= m_options.snapshot_every ||
-        now - m_last_snapshot >= m_options.snapshot_period;
+        m_table.next() - m_snapshot_through >= m_options.snapshot_records ||
+        now - m_last_snapshot >= m_options.snapshot_interval;
     if (!is_due || !is_member() || has_pending<snapshot>() ||
         !is_first("snapshot", now))
     {
@@ -263,7 +264,7 @@
     append(m_table.to_snapshot(), out);
 }
 
-void tenure::part(base::instant now, actions& out)
+void participant::part(base::instant now, actions& out)
 {
     if (!is_member())
     {
--- a/libraries/ownership/tenure_view.cpp
+++ b/libraries/ownership/participant_view.cpp
@@ -1,5 +1,5 @@
 /// Who takes part, as a tenure sees it, and its own part in that.
-#include <ownership/tenure.hpp>
+#include <ownership/participant.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -7,7 +7,7 @@
 namespace berylhill::ownership
 {
 
-void tenure::take_part(base::instant, actions& out)
+void participant::take_part(base::instant, actions& out)
 {
     if (is_member() || has_pending<join>())
     {
@@ -17,7 +17,7 @@
            out);
 }
 
-void tenure::publish_seen(actions& out)
+void participant::publish_seen(actions& out)
 {
     if (!is_member() || has_pending<seen>())
     {
@@ -35,7 +35,7 @@
     }
 }
 
-void tenure::remove_dropped(base::instant now, actions& out)
+void participant::remove_dropped(base::instant now, actions& out)
 {
     if (!is_member() || has_pending<removal>())
     {
@@ -56,9 +56,9 @@
     }
 }
 
-bool tenure::is_heard(std::string const& incarnation,
-                      base::instant now,
-                      base::duration within) const
+bool participant::is_heard(std::string const& incarnation,
+                           base::instant now,
+                           base::duration within) const
 {
     if (incarnation == m_options.incarnation)
     {
@@ -77,7 +77,7 @@
 /// therefore who was heard well within the time after which the first of them
 /// is suspected; otherwise that one's units would be claimed before this
 /// process finds that it hears nobody.
-bool tenure::is_isolated(base::instant now) const
+bool participant::is_isolated(base::instant now) const
 {
     auto const others = m_watched.size();
     auto const lately = m_options.suspect_after * 2 / 3;
@@ -89,7 +89,7 @@
     return others >= m_options.fewest_to_be_isolated && heard * 2 < others;
 }
 
-base::duration tenure::suspicion_time(base::instant now) const
+base::duration participant::suspicion_time(base::instant now) const
 {
     return is_isolated(now) ? m_options.isolated_after
                             : m_options.suspect_after;
@@ -100,7 +100,7 @@
 /// is active, again and again. The others, who live, have claimed its units by
 /// the time that it may claim theirs, and it has read so. One that owned
 /// nothing cannot tell, and waits until the platform's list drops the others.
-bool tenure::is_cut_off(base::instant now) const
+bool participant::is_cut_off(base::instant now) const
 {
     if (!is_isolated(now))
     {
@@ -118,8 +118,8 @@
 
 /// Two watchers have to say so, because one may itself be the one that is cut
 /// off.
-bool tenure::is_suspected(std::string const& incarnation,
-                          base::instant now) const
+bool participant::is_suspected(std::string const& incarnation,
+                               base::instant now) const
 {
     auto const said = m_suspected.find(incarnation);
     if (said == m_suspected.end())
@@ -134,7 +134,7 @@
            2;
 }
 
-void tenure::choose_watched()
+void participant::choose_watched()
 {
     std::vector<candidate> all;
     all.reserve(m_table.members().size());
@@ -168,7 +168,7 @@
     m_watch_chosen_of = std::move(all);
 }
 
-std::set<std::string> tenure::heartbeat_targets() const
+std::set<std::string> participant::heartbeat_targets() const
 {
     if (!m_stopping && is_member())
     {
@@ -184,7 +184,7 @@
     return all;
 }
 
-void tenure::tell_silent(base::instant now, actions& out)
+void participant::tell_silent(base::instant now, actions& out)
 {
     auto const hears_all = m_watched.size() + 1 >= m_table.members().size();
     if (hears_all || now - m_last_told < m_options.suspicion_every)
@@ -209,7 +209,7 @@
     }
 }
 
-std::vector<candidate> tenure::live(base::instant now) const
+std::vector<candidate> participant::live_members(base::instant now) const
 {
     auto const within = suspicion_time(now);
     std::vector<candidate> found;
@@ -225,9 +225,9 @@
 
 /// Who may be given a unit. Only processes on the platform's list, which is
 /// what `all_listed_answered` rests on.
-std::vector<candidate> tenure::takers(base::instant now) const
+std::vector<candidate> participant::takers(base::instant now) const
 {
-    auto found = live(now);
+    auto found = live_members(now);
     std::erase_if(found,
                   [&](candidate const& it)
                   {
@@ -241,13 +241,13 @@
     return found;
 }
 
-bool tenure::is_first(std::string const& what, base::instant now) const
+bool participant::is_first(std::string const& what, base::instant now) const
 {
-    auto const order = wanted_order(what, live(now));
+    auto const order = wanted_order(what, live_members(now));
     return !order.empty() && order.front() == m_options.incarnation;
 }
 
-unit_counts tenure::counts() const
+unit_counts participant::counts() const
 {
     unit_counts load;
     for (auto const& [name, it] : m_table.units())
--- a/tests/ownership/claim_table_test.cpp
+++ b/tests/ownership/claim_table_test.cpp
@@ -104,7 +104,7 @@
 
     claim_table it;
     it.apply(0, join{"a", "entry-1", "z"});
-    it.restart(5);
+    it.reset(5);
     it.apply(5, last);
     it.apply(6, old);
     BOOST_TEST(!it.complete());
--- a/tests/ownership/exhaustive_test.cpp
+++ b/tests/ownership/exhaustive_test.cpp
@@ -60,7 +60,7 @@
 findings explore(world const& start)
 {
     std::vector<visited> all{{0, ""}};
-    std::set<tenure_inspector::digest> known{start.digest()};
+    std::set<state_digester::digest> known{start.digest()};
     std::vector<std::pair<std::size_t, world>> frontier{{0, start}};
     findings it;
     while (!frontier.empty() && it.breaking_run.empty())
--- a/tests/ownership/tenure_test.cpp
+++ b/tests/ownership/participant_test.cpp
@@ -1,4 +1,4 @@
-#include "cell.hpp"
+#include "simulated_cell.hpp"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -14,9 +14,9 @@
 {
 
 /// A cell that has settled.
-cell settled_cell(cell::settings of = {})
+simulated_cell settled_cell(simulated_cell::settings of = {})
 {
-    cell it{of};
+    simulated_cell it{of};
     it.run(10s);
     BOOST_REQUIRE(it.acted_on() == it.units().size());
     it.reset_gaps();
@@ -89,7 +89,7 @@
     {
         for (std::size_t i = 1; i < it.size(); ++i)
         {
-            (void)it.at(i).suspected(
+            (void)it.at(i).on_suspicion(
                 {told, it.at(5).own_heartbeat().incarnation}, it.now());
         }
         it.run(250ms);
@@ -202,7 +202,7 @@
     it.pause(0, true);
     it.run(10s);
     // Asked at the very moment it goes on, before it hears of anything.
-    BOOST_TEST(!it.at(0).may_act(units.front(), it.now()).has_value());
+    BOOST_TEST(!it.at(0).active_epoch(units.front(), it.now()).has_value());
     it.pause(0, false);
     it.run(5s);
     BOOST_TEST(it.acted_on() == it.units().size());
--- a/tests/ownership/cell.cpp
+++ b/tests/ownership/simulated_cell.cpp
@@ -1,11 +1,11 @@
-#include "cell.hpp"
+#include "simulated_cell.hpp"
 
 #include <algorithm>
 
 namespace berylhill::ownership
 {
 
-cell::cell(settings of)
+simulated_cell::simulated_cell(settings of)
     : m_settings{of}
 {
     for (std::size_t n = 0; n < of.units; ++n)
@@ -21,54 +21,54 @@
     reset_gaps();
 }
 
-void cell::create(std::size_t i)
+void simulated_cell::create(std::size_t i)
 {
     auto& node = m_nodes[i];
-    tenure_options options;
+    participant_options options;
     options.instance = node.instance;
     options.incarnation = node.instance + "." + std::to_string(node.starts);
     options.zone = "zone-" + std::to_string(i % m_settings.zones);
-    node.it = std::make_unique<tenure>(options, m_now);
+    node.it = std::make_unique<participant>(options, m_now);
     node.next = 0;
     node.alive = true;
     node.paused = false;
-    perform(i, node.it->listed(list(), m_now));
+    perform(i, node.it->on_entry_list(list(), m_now));
     perform(i, node.it->set_units(m_units, m_now));
 }
 
-void cell::kill(std::size_t i)
+void simulated_cell::kill(std::size_t i)
 {
     m_nodes[i].alive = false;
     m_nodes[i].listed_until = m_now + m_settings.list_lag;
 }
 
-void cell::restart(std::size_t i)
+void simulated_cell::restart(std::size_t i)
 {
     ++m_nodes[i].starts;
     create(i);
 }
 
-void cell::pause(std::size_t i, bool paused)
+void simulated_cell::pause(std::size_t i, bool paused)
 {
     m_nodes[i].paused = paused;
 }
 
-void cell::stop(std::size_t i)
+void simulated_cell::stop(std::size_t i)
 {
     perform(i, m_nodes[i].it->stop(m_now));
 }
 
-void cell::set_log(bool is_up)
+void simulated_cell::set_log(bool is_up)
 {
     m_log_up = is_up;
 }
 
-void cell::cut(std::size_t i, bool is_cut)
+void simulated_cell::cut(std::size_t i, bool is_cut)
 {
     m_nodes[i].cut = is_cut;
 }
 
-std::set<std::string> cell::list() const
+std::set<std::string> simulated_cell::list() const
 {
     std::set<std::string> names;
     for (auto const& it : m_nodes)
@@ -81,11 +81,11 @@
     return names;
 }
 
-void cell::perform(std::size_t i, actions const& list_of)
+void simulated_cell::perform(std::size_t i, actions const& list_of)
 {
     for (auto const& it : list_of)
     {
-        if (auto const* append = std::get_if<append_entry>(&it))
+        if (auto const* append = std::get_if<append_record>(&it))
         {
             m_appends.push_back({m_now + m_settings.append_takes, i, *append,
                                  m_nodes[i].starts});
@@ -106,12 +106,12 @@
         }
         else
         {
-            perform(i, m_nodes[i].it->listed(list(), m_now));
+            perform(i, m_nodes[i].it->on_entry_list(list(), m_now));
         }
     }
 }
 
-void cell::write_due()
+void simulated_cell::write_due()
 {
     while (!m_appends.empty() && m_appends.front().due <= m_now)
     {
@@ -125,13 +125,13 @@
         else if (node.alive && node.starts == it.start)
         {
             perform(it.node,
-                    node.it->append_settled(it.entry.ticket,
-                                            append_end::never_written, m_now));
+                    node.it->on_append_settled(
+                        it.entry.ticket, append_outcome::never_written, m_now));
         }
     }
 }
 
-void cell::deliver()
+void simulated_cell::deliver()
 {
     auto const letters = std::move(m_letters);
     m_letters.clear();
@@ -147,27 +147,27 @@
             }
             if (auto const* ask = std::get_if<send_vouch_request>(&it.message))
             {
-                perform(i, node.it->vouch_asked(ask->message, m_now));
+                perform(i, node.it->on_vouch_request(ask->message, m_now));
                 continue;
             }
             if (auto const* word = std::get_if<send_suspicion>(&it.message))
             {
-                perform(i, node.it->suspected(word->message, m_now));
+                perform(i, node.it->on_suspicion(word->message, m_now));
                 continue;
             }
             auto const& answer = std::get<send_vouch_answer>(it.message);
-            perform(i, node.it->vouch_answered(answer.message, m_now));
+            perform(i, node.it->on_vouch_answer(answer.message, m_now));
         }
     }
 }
 
-bool cell::every(base::duration period, std::size_t i) const
+bool simulated_cell::every(base::duration period, std::size_t i) const
 {
     auto const shift = m_settings.step * static_cast<std::int64_t>(i);
     return (m_now.time_since_epoch() + shift) % period < m_settings.step;
 }
 
-void cell::serve(std::size_t i)
+void simulated_cell::serve(std::size_t i)
 {
     auto& node = m_nodes[i];
     if (!node.alive || node.paused)
@@ -185,12 +185,12 @@
                 ++m_heartbeats;
                 if (other.alive && !other.paused && !other.cut && !node.cut)
                 {
-                    perform(to,
-                            other.it->heard(node.it->own_heartbeat(), m_now));
+                    perform(to, other.it->on_heartbeat(node.it->own_heartbeat(),
+                                                       m_now));
                 }
             }
         }
-        perform(i, node.it->listed(list(), m_now));
+        perform(i, node.it->on_entry_list(list(), m_now));
     }
     if (m_log_up && every(m_settings.read_every, i))
     {
@@ -201,7 +201,7 @@
             records.emplace_back(n, m_log[static_cast<std::size_t>(n)]);
         }
         node.next = end;
-        perform(i, node.it->log_read(records, end, m_now, m_now));
+        perform(i, node.it->on_log_read(records, end, m_now, m_now));
     }
     if (every(m_settings.tick_every, i))
     {
@@ -209,7 +209,7 @@
     }
 }
 
-void cell::run(base::duration span)
+void simulated_cell::run(base::duration span)
 {
     for (auto const until = m_now + span; m_now < until;
          m_now += m_settings.step)
@@ -224,14 +224,14 @@
     }
 }
 
-void cell::observe()
+void simulated_cell::observe()
 {
     for (auto const& unit : m_units)
     {
         std::size_t n = 0;
         for (auto const& it : m_nodes)
         {
-            n += it.alive && it.it->may_act(unit, m_now) ? 1 : 0;
+            n += it.alive && it.it->active_epoch(unit, m_now) ? 1 : 0;
         }
         m_conflicts += n > 1 ? 1 : 0;
         auto& last = m_last_acted[unit];
@@ -245,7 +245,7 @@
     }
 }
 
-std::size_t cell::acted_on() const
+std::size_t simulated_cell::acted_on() const
 {
     std::size_t n = 0;
     for (std::size_t i = 0; i < m_nodes.size(); ++i)
@@ -255,7 +255,7 @@
     return n;
 }
 
-std::vector<std::string> cell::acted_on_by(std::size_t i) const
+std::vector<std::string> simulated_cell::acted_on_by(std::size_t i) const
 {
     std::vector<std::string> names;
     if (!m_nodes[i].alive || m_nodes[i].paused)
@@ -264,7 +264,7 @@
     }
     for (auto const& unit : m_units)
     {
-        if (m_nodes[i].it->may_act(unit, m_now))
+        if (m_nodes[i].it->active_epoch(unit, m_now))
         {
             names.push_back(unit);
         }
@@ -272,7 +272,7 @@
     return names;
 }
 
-base::duration cell::longest_gap() const
+base::duration simulated_cell::longest_gap() const
 {
     base::duration longest{};
     for (auto const& [unit, it] : m_gaps)
@@ -282,14 +282,14 @@
     return longest;
 }
 
-std::size_t cell::units_with_gap(base::duration longer_than) const
+std::size_t simulated_cell::units_with_gap(base::duration longer_than) const
 {
     return static_cast<std::size_t>(
         std::count_if(m_gaps.begin(), m_gaps.end(),
                       [&](auto const& it) { return it.second > longer_than; }));
 }
 
-void cell::reset_gaps()
+void simulated_cell::reset_gaps()
 {
     m_gaps.clear();
     for (auto const& unit : m_units)
--- a/tests/ownership/cell.hpp
+++ b/tests/ownership/simulated_cell.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <ownership/tenure.hpp>
+#include <ownership/participant.hpp>
 
 #include <cstddef>
 #include <deque>
@@ -16,7 +16,7 @@
 
 /// Entries with their tenures, a log, a lagging list and a network in virtual
 /// time, for tests and measurements of the decisions alone. Not thread-safe.
-class cell
+class simulated_cell
 {
 public:
     struct settings
@@ -32,7 +32,7 @@
         base::duration list_lag{std::chrono::seconds{15}};
     };
 
-    explicit cell(settings of);
+    explicit simulated_cell(settings of);
 
     void run(base::duration span);
 
@@ -54,11 +54,11 @@
     {
         return m_nodes.size();
     }
-    [[nodiscard]] tenure const& at(std::size_t i) const
+    [[nodiscard]] participant const& at(std::size_t i) const
     {
         return *m_nodes[i].it;
     }
-    [[nodiscard]] tenure& at(std::size_t i)
+    [[nodiscard]] participant& at(std::size_t i)
     {
         return *m_nodes[i].it;
     }
@@ -100,7 +100,7 @@
 private:
     struct entry_process
     {
-        std::unique_ptr<tenure> it;
+        std::unique_ptr<participant> it;
         std::string instance;
         bool alive{true};
         bool paused{false};
@@ -114,7 +114,7 @@
     {
         base::instant due;
         std::size_t node{0};
-        append_entry entry;
+        append_record entry;
         int start{0};
     };
     struct letter
--- a/tests/ownership/tenure_inspector.hpp
+++ b/tests/ownership/state_digester.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <ownership/tenure.hpp>
+#include <ownership/participant.hpp>
 
 #include <xxhash.h>
 
@@ -15,7 +15,7 @@
 
 /// Digests the state of tenures and of the world around them, so that the
 /// exhaustive test knows which states it has been in.
-class tenure_inspector
+class state_digester
 {
 public:
     using digest = std::pair<std::uint64_t, std::uint64_t>;
@@ -127,7 +127,7 @@
     /// What decides about later actions, as seen at `now`: ends that have
     /// passed are all alike, as are tickets and numbers of rounds, and the
     /// bookkeeping of spread and snapshots, which the test keeps constant.
-    void add(tenure const& it, base::instant now)
+    void add(participant const& it, base::instant now)
     {
         add_all(it.m_table, it.m_releasing, it.m_doubtful, it.m_listed,
                 it.m_ever_listed, it.m_stopping, it.m_left);
@@ -155,7 +155,7 @@
         }
     }
 
-    [[nodiscard]] static bool is_asking(tenure const& it)
+    [[nodiscard]] static bool is_asking(participant const& it)
     {
         return it.m_round.has_value();
     }
--- a/tests/ownership/world.cpp
+++ b/tests/ownership/world.cpp
@@ -11,14 +11,15 @@
 constexpr auto s_unit = "u";
 constexpr base::duration s_never = std::chrono::hours{1};
 
-tenure_options options_of(std::string const& name, world::bounds const& limits)
+participant_options options_of(std::string const& name,
+                               world::bounds const& limits)
 {
-    tenure_options it;
+    participant_options it;
     it.incarnation = name;
     it.instance = name;
     it.zone = "z";
-    it.right = base::duration{limits.right};
-    it.margin = {};
+    it.lease_duration = base::duration{limits.right};
+    it.clock_margin = {};
     // No heartbeats: each process claims as soon as a tick lets it.
     it.suspect_after = {};
     it.isolated_after = {};
@@ -26,7 +27,7 @@
     it.claim_patience = {};
     it.leave_after = {};
     it.move_every = s_never;
-    it.snapshot_period = s_never;
+    it.snapshot_interval = s_never;
     it.rules = limits.rules;
     return it;
 }
@@ -60,11 +61,11 @@
 void world::start(std::string const& name)
 {
     m_processes.push_back(std::make_shared<process>(
-        process{name, tenure{options_of(name, m_bounds), at(m_now)}}));
+        process{name, participant{options_of(name, m_bounds), at(m_now)}}));
     m_list.insert(name);
     auto const i = m_processes.size() - 1;
     auto& it = edit(i).it;
-    perform(i, it.listed(m_list, at(m_now)));
+    perform(i, it.on_entry_list(m_list, at(m_now)));
     perform(i, it.set_units({s_unit}, at(m_now)));
 }
 
@@ -87,7 +88,7 @@
 {
     for (auto const& it : list)
     {
-        if (auto const* append = std::get_if<append_entry>(&it))
+        if (auto const* append = std::get_if<append_record>(&it))
         {
             m_appends.push_back({i, *append});
         }
@@ -106,7 +107,8 @@
             m_letters.push_back({answer->to, answer->to, answer->message.round,
                                  answer->message});
         }
-        else if (std::holds_alternative<fetch_list>(it) && m_bounds.deaths)
+        else if (std::holds_alternative<fetch_entry_list>(it) &&
+                 m_bounds.deaths)
         {
             // An older fetch is of no use to the round that has begun.
             std::erase_if(m_fetches,
@@ -122,7 +124,7 @@
     for (std::size_t i = 0; i < m_processes.size(); ++i)
     {
         auto const& it = *m_processes[i];
-        if (!tenure_inspector::is_asking(it.it))
+        if (!state_digester::is_asking(it.it))
         {
             std::erase_if(m_letters, [&](letter const& old)
                           { return old.asker == it.name; });
@@ -142,7 +144,7 @@
         records.emplace_back(n, (*m_log)[static_cast<std::size_t>(n)]);
     }
     it.next = end;
-    perform(i, it.it.log_read(records, end, at(m_now), at(m_now)));
+    perform(i, it.it.on_log_read(records, end, at(m_now), at(m_now)));
 }
 
 void world::tick(std::size_t i)
@@ -155,7 +157,7 @@
     auto log = std::make_shared<std::vector<record>>(*m_log);
     log->push_back(m_appends[i].entry.value);
     m_claims += std::holds_alternative<claim>(log->back()) ? 1 : 0;
-    tenure_inspector digest;
+    state_digester digest;
     digest.add(m_log_digest);
     digest.add(log->back());
     m_log_digest = digest.result();
@@ -168,10 +170,10 @@
     auto const it = m_appends[i];
     m_appends.erase(m_appends.begin() + static_cast<std::ptrdiff_t>(i));
     ++m_refusals;
-    perform(it.process,
-            edit(it.process)
-                .it.append_settled(it.entry.ticket, append_end::never_written,
-                                   at(m_now)));
+    perform(it.process, edit(it.process)
+                            .it.on_append_settled(it.entry.ticket,
+                                                  append_outcome::never_written,
+                                                  at(m_now)));
 }
 
 void world::deliver(std::size_t i)
@@ -187,11 +189,11 @@
         auto& to = edit(n);
         if (auto const* ask = std::get_if<vouch_request>(&it.message))
         {
-            perform(n, to.it.vouch_asked(*ask, at(m_now)));
+            perform(n, to.it.on_vouch_request(*ask, at(m_now)));
             continue;
         }
-        perform(n, to.it.vouch_answered(std::get<vouch_answer>(it.message),
-                                        at(m_now)));
+        perform(n, to.it.on_vouch_answer(std::get<vouch_answer>(it.message),
+                                         at(m_now)));
     }
 }
 
@@ -199,7 +201,8 @@
 {
     auto const it = m_fetches[i];
     m_fetches.erase(m_fetches.begin() + static_cast<std::ptrdiff_t>(i));
-    perform(it.process, edit(it.process).it.listed(m_list, at(it.as_of)));
+    perform(it.process,
+            edit(it.process).it.on_entry_list(m_list, at(it.as_of)));
 }
 
 template <class Change>
@@ -313,7 +316,7 @@
     std::vector<std::string> names;
     for (auto const& it : m_processes)
     {
-        if (!it->dead && it->it.may_act(s_unit, at(m_now)))
+        if (!it->dead && it->it.active_epoch(s_unit, at(m_now)))
         {
             names.push_back(it->name);
         }
@@ -321,11 +324,11 @@
     return names;
 }
 
-tenure_inspector::digest world::digest_of(process const& of) const
+state_digester::digest world::digest_of(process const& of) const
 {
     if (of.digested_at != m_now)
     {
-        tenure_inspector it;
+        state_digester it;
         it.add(of.it, at(m_now));
         it.add(of.next);
         it.add(of.dead);
@@ -335,33 +338,33 @@
     return of.digest;
 }
 
-tenure_inspector::digest world::digest() const
+state_digester::digest world::digest() const
 {
     // What is under way has no order, so the digests of its parts are sorted.
-    std::vector<tenure_inspector::digest> parts;
+    std::vector<state_digester::digest> parts;
     for (auto const& each : m_appends)
     {
-        tenure_inspector part;
+        state_digester part;
         part.add(each.process);
         part.add(each.entry.value);
         parts.push_back(part.result());
     }
     for (auto const& each : m_letters)
     {
-        tenure_inspector part;
+        state_digester part;
         part.add(each.to);
         part.add(each.message);
         parts.push_back(part.result());
     }
     for (auto const& each : m_fetches)
     {
-        tenure_inspector part;
+        state_digester part;
         part.add(each.process);
         part.add(each.as_of);
         parts.push_back(part.result());
     }
     std::sort(parts.begin(), parts.end());
-    tenure_inspector it;
+    state_digester it;
     it.add(m_now);
     for (auto const& each : m_processes)
     {
--- a/tests/ownership/world.hpp
+++ b/tests/ownership/world.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include <ownership/tenure.hpp>
+#include <ownership/participant.hpp>
 
-#include "tenure_inspector.hpp"
+#include "state_digester.hpp"
 
 #include <functional>
 #include <memory>
@@ -62,7 +62,7 @@
 
     /// Processes that may act for the unit now.
     [[nodiscard]] std::vector<std::string> acting() const;
-    [[nodiscard]] tenure_inspector::digest digest() const;
+    [[nodiscard]] state_digester::digest digest() const;
     [[nodiscard]] std::int64_t now() const noexcept
     {
         return m_now;
@@ -72,17 +72,17 @@
     struct process
     {
         std::string name;
-        tenure it;
+        participant it;
         std::int64_t next{0};
         bool dead{false};
         /// Kept, because most steps leave most processes as they are.
-        mutable tenure_inspector::digest digest{};
+        mutable state_digester::digest digest{};
         mutable std::int64_t digested_at{-1};
     };
     struct under_way
     {
         std::size_t process{0};
-        append_entry entry;
+        append_record entry;
     };
     struct letter
     {
@@ -102,7 +102,7 @@
     {
         return base::instant{base::duration{ticks}};
     }
-    [[nodiscard]] tenure_inspector::digest digest_of(process const& of) const;
+    [[nodiscard]] state_digester::digest digest_of(process const& of) const;
     /// A copy of the process to change, before its state is digested again.
     [[nodiscard]] process& edit(std::size_t i);
     void start(std::string const& name);
@@ -130,7 +130,7 @@
     /// Shared between worlds, and copied by who changes one.
     std::vector<std::shared_ptr<process const>> m_processes;
     std::shared_ptr<std::vector<record> const> m_log;
-    tenure_inspector::digest m_log_digest;
+    state_digester::digest m_log_digest;
     std::vector<under_way> m_appends;
     std::vector<letter> m_letters;
     std::vector<fetch> m_fetches;
--- a/utilities/state_bench/main.cpp
+++ b/utilities/state_bench/main.cpp
@@ -1,9 +1,9 @@
 /// Measures the decisions about ownership and the log's writer, and prints one
 /// `name=value unit` line for each figure.
 #include <model/json.hpp>
-#include <ownership/tenure.hpp>
+#include <ownership/participant.hpp>
 #include <stream/writer_state.hpp>
-#include <tests/ownership/cell.hpp>
+#include <tests/ownership/simulated_cell.hpp>
 
 #include <malloc.h>
 
@@ -103,34 +103,34 @@
     return names;
 }
 
-tenure settled_tenure(int units, int instances)
+participant settled_tenure(int units, int instances)
 {
-    tenure_options options;
+    participant_options options;
     options.incarnation = incarnation(0);
     options.instance = "entry-0";
     options.zone = "zone-0";
-    tenure it{options, s_start};
+    participant it{options, s_start};
     std::set<std::string> list;
     for (int i = 0; i < instances; ++i)
     {
         list.insert("entry-" + std::to_string(i));
     }
-    (void)it.listed(list, s_start);
+    (void)it.on_entry_list(list, s_start);
     (void)it.set_units(unit_names(units), s_start);
     auto const records = history(units, instances);
-    (void)it.log_read(records, units + instances, s_start, s_start);
+    (void)it.on_log_read(records, units + instances, s_start, s_start);
     return it;
 }
 
-void hear_all(tenure& it, int instances, int but, base::instant now)
+void hear_all(participant& it, int instances, int but, base::instant now)
 {
     for (int i = 1; i < instances; ++i)
     {
         if (i != but)
         {
-            (void)it.heard({incarnation(i), "entry-" + std::to_string(i),
-                            "zone-" + std::to_string(i % 4), false},
-                           now);
+            (void)it.on_heartbeat({incarnation(i), "entry-" + std::to_string(i),
+                                   "zone-" + std::to_string(i % 4), false},
+                                  now);
         }
     }
 }
@@ -142,7 +142,7 @@
     auto it = settled_tenure(units, instances);
     auto now = s_start + std::chrono::seconds{2};
     hear_all(it, instances, 0, now);
-    (void)it.log_read({}, units + instances, now, now);
+    (void)it.on_log_read({}, units + instances, now, now);
     constexpr int s_ticks = 20;
     auto start = stopwatch::now();
     for (int i = 0; i < s_ticks; ++i)
@@ -153,10 +153,10 @@
     // One owner falls silent: its units are planned anew.
     now += std::chrono::seconds{2};
     hear_all(it, instances, 1, now);
-    (void)it.suspected({incarnation(2), incarnation(1)}, now);
-    (void)it.suspected({incarnation(3), incarnation(1)}, now);
+    (void)it.on_suspicion({incarnation(2), incarnation(1)}, now);
+    (void)it.on_suspicion({incarnation(3), incarnation(1)}, now);
     start = stopwatch::now();
-    auto const actions = it.log_read({}, units + instances, now, now);
+    auto const actions = it.on_log_read({}, units + instances, now, now);
     print(name + ".one_dead", us_since(start), "us");
 }
 
@@ -230,7 +230,8 @@
 
 void measure_messages(std::size_t instances)
 {
-    cell it{{.instances = instances, .zones = 4, .units = 8 * instances}};
+    simulated_cell it{
+        {.instances = instances, .zones = 4, .units = 8 * instances}};
     it.run(std::chrono::seconds{15});
     auto const entries = it.log_entries();
     auto const beats_before = it.heartbeats();
