--- a/libraries/cell/advice_queue.cpp
+++ b/libraries/cell/advice_queue.cpp
@@ -30,7 +30,7 @@
 void advice_queue::add(std::uint64_t question,
                        scheduler::advice_order const& order)
 {
-    m_waiting.emplace(turn{order.expected > scheduler::short_question,
+    m_waiting.emplace(turn{order.expected > scheduler::short_advice_request,
                            order.late, order.needed_by, question},
                       order.expected);
 }
--- a/libraries/cell/cell_owner.cpp
+++ b/libraries/cell/cell_owner.cpp
@@ -146,7 +146,7 @@
         done({job_answer_kind::over_cap, {}, 0, {}});
         return;
     }
-    if (taken == scheduler::submission::taken)
+    if (taken == scheduler::submission::accepted)
     {
         m_parts.log->write(base::log_level::info, "job_taken",
                            {{"job", text_of(it.job)},
@@ -171,7 +171,7 @@
         done({job_answer_kind::unknown_job, {}, 0, {}});
         return;
     }
-    if (end == scheduler::cancellation::finished_before)
+    if (end == scheduler::cancellation::already_finished)
     {
         done({job_answer_kind::accepted, {}, 0, {}});
         return;
@@ -222,7 +222,7 @@
     commit();
     hold_all();
     m_pace.ended(m_parts.clock->now());
-    if (!m_decisions.decided_all())
+    if (!m_decisions.round_complete())
     {
         soon();
     }
@@ -235,7 +235,7 @@
     auto const id = m_parts.reader->instance_id(key);
     if (value.empty())
     {
-        m_decisions.unlist(id, now);
+        m_decisions.instance_unlisted(id, now);
         return;
     }
     auto const read =
@@ -246,7 +246,7 @@
                            {{"key", key}, {"error", read.error().message}});
         return;
     }
-    m_decisions.list(read.value(), now);
+    m_decisions.instance_listed(read.value(), now);
     m_holds.add(id);
 }
 
--- a/libraries/cell/cell_owner_batch.cpp
+++ b/libraries/cell/cell_owner_batch.cpp
@@ -67,7 +67,7 @@
         return;
     }
     m_given_up = true;
-    m_decisions.batch_returned();
+    m_decisions.batch_not_stored();
     m_waiting.batch_returned();
     m_next_append = m_parts.clock->now() + append_pause;
 }
@@ -96,7 +96,7 @@
         return;
     }
     auto const now = m_parts.clock->now();
-    if (m_decisions.batch_open())
+    if (m_decisions.batch_pending())
     {
         m_open_since = m_open_since.value_or(now);
         if (lingers(now))
--- a/libraries/cell/cell_owner_orders.cpp
+++ b/libraries/cell/cell_owner_orders.cpp
@@ -83,7 +83,7 @@
                              auto const now = m_parts.clock->now();
                              if (end == order_end::other_incarnation)
                              {
-                                 m_decisions.gone(id, now);
+                                 m_decisions.instance_replaced(id, now);
                              }
                              m_decisions.stop_answered(
                                  id, name, end == order_end::done, now);
@@ -104,8 +104,9 @@
                             auto const now = m_parts.clock->now();
                             if (result.answered)
                             {
-                                m_decisions.advised(step, asked, result.allowed,
-                                                    result.validity, now);
+                                m_decisions.advice_answered(
+                                    step, asked, result.allowed,
+                                    result.validity, now);
                             }
                             else
                             {
@@ -174,21 +175,21 @@
         it.report.instance = id;
         it.report.sent_at = sent_at;
         it.report.read_at = now;
-        m_decisions.reported(it.report);
+        m_decisions.hold_answered(it.report);
         m_holds.reported(id, now,
                          it.report.ended.empty() ? 0 : m_batches_taken + 1,
-                         m_decisions.hold_rest(id));
+                         m_decisions.hold_interval(id));
         break;
     case order_end::fenced:
         deposed("hold_fenced");
         return;
     case order_end::other_incarnation:
-        m_decisions.gone(id, now);
+        m_decisions.instance_replaced(id, now);
         m_holds.failed(id, now);
         break;
     case order_end::refused:
     case order_end::unanswered:
-        m_decisions.silent(id, now);
+        m_decisions.hold_unanswered(id, now);
         m_holds.failed(id, now);
         break;
     }
--- a/libraries/cell/replica.cpp
+++ b/libraries/cell/replica.cpp
@@ -25,15 +25,16 @@
     return claim_of(at->second);
 }
 
-std::optional<scheduler::stored_end> replica::end_of(workload::job_id it) const
+std::optional<scheduler::stored_status>
+replica::end_of(workload::job_id it) const
 {
     auto const at = m_records.find(scheduler::state_key(it));
     if (at == m_records.end())
     {
         return std::nullopt;
     }
-    auto const read =
-        base::capture([&] { return scheduler::parse_end(it, at->second); });
+    auto const read = base::capture(
+        [&] { return scheduler::parse_stored_status(it, at->second); });
     if (!read || !scheduler::finished(read.value().phase))
     {
         return std::nullopt;
--- a/libraries/cell/replica.hpp
+++ b/libraries/cell/replica.hpp
@@ -28,7 +28,7 @@
 
     /// How a job has ended, where its record says that it has: nothing that
     /// comes later changes it.
-    [[nodiscard]] std::optional<scheduler::stored_end>
+    [[nodiscard]] std::optional<scheduler::stored_status>
     end_of(workload::job_id it) const;
 
     [[nodiscard]] std::map<std::string, std::string> const&
--- a/libraries/scheduler/advice_budget.cpp
+++ b/libraries/scheduler/advice_budget.cpp
@@ -16,7 +16,7 @@
 void advice_budget::asked(workload::step_name const& of,
                           base::duration expected)
 {
-    if (expected > short_question)
+    if (expected > short_advice_request)
     {
         ++m_long;
         ++m_open[of];
--- a/libraries/scheduler/advice_budget.hpp
+++ b/libraries/scheduler/advice_budget.hpp
@@ -47,6 +47,7 @@
 
 /// A question that takes the service longer than this counts as long. Those
 /// for urgent work take some 13 ms, the others 140 to 1,400 ms.
-inline constexpr base::duration short_question = std::chrono::milliseconds{50};
+inline constexpr base::duration short_advice_request =
+    std::chrono::milliseconds{50};
 
 } // namespace berylhill::scheduler
--- a/libraries/scheduler/instance.cpp
+++ b/libraries/scheduler/instance.cpp
@@ -37,9 +37,9 @@
         m_listed && (m_shrunk || !workload::fits(m_info.capacity, it.capacity));
     m_info = std::move(it);
     m_leaves_at.reset();
-    if (m_info.draining && m_info.stays_for)
+    if (m_info.draining && m_info.min_stay)
     {
-        m_leaves_at = now + *m_info.stays_for;
+        m_leaves_at = now + *m_info.min_stay;
     }
     m_rack = m_info.labels.size() > rack_label ? m_info.labels[rack_label]
                                                : std::string{};
--- a/libraries/scheduler/instance.hpp
+++ b/libraries/scheduler/instance.hpp
@@ -28,7 +28,7 @@
     std::vector<std::string> labels;
     bool draining{false};
     /// Of one that drains: how long it stays at least.
-    std::optional<base::duration> stays_for;
+    std::optional<base::duration> min_stay;
 
     friend bool operator==(instance_info const&,
                            instance_info const&) = default;
--- a/libraries/scheduler/orders.hpp
+++ b/libraries/scheduler/orders.hpp
@@ -106,9 +106,9 @@
     stopped,
     lease_lapsed,
     /// Another member of the gang ended.
-    broken,
+    gang_member_ended,
     /// The other members of the gang did not come.
-    alone,
+    gang_incomplete,
     /// Another life answers at the address of its instance, which had not said
     /// that it leaves. No instance reports this or the next two.
     instance_crashed,
--- a/libraries/scheduler/outcomes.hpp
+++ b/libraries/scheduler/outcomes.hpp
@@ -9,11 +9,11 @@
 enum class submission : std::uint8_t
 {
     /// New; it counts once the open batch is stored.
-    taken,
+    accepted,
     /// Known, and not stored yet.
-    taken_before,
+    already_accepted,
     /// Known and stored.
-    stored_before,
+    already_stored,
     /// Not taken: it needs more than its account may ever have running.
     over_cap,
 };
@@ -23,9 +23,9 @@
 {
     unknown,
     /// It counts once the open batch is stored.
-    taken,
+    accepted,
     /// The job has its final phase and that is stored.
-    finished_before,
+    already_finished,
 };
 
 /// Figures for the metrics. A value.
--- a/libraries/scheduler/record.hpp
+++ b/libraries/scheduler/record.hpp
@@ -69,7 +69,7 @@
 read_state_value(std::string_view value, base::instant now, job& into);
 
 /// How a job stands, for those who only answer questions. A value.
-struct stored_end
+struct stored_status
 {
     job_phase phase{job_phase::queued};
     /// The client account of a finished job; empty: none.
@@ -79,11 +79,12 @@
     std::vector<leftover> leftovers;
     std::int64_t finished_ms{0};
 
-    friend bool operator==(stored_end const&, stored_end const&) = default;
+    friend bool operator==(stored_status const&,
+                           stored_status const&) = default;
 };
 
 /// Fails with `invalid`.
-[[nodiscard]] base::result<stored_end> parse_end(workload::job_id id,
-                                                 std::string_view value);
+[[nodiscard]] base::result<stored_status>
+parse_stored_status(workload::job_id id, std::string_view value);
 
 } // namespace berylhill::scheduler
--- a/libraries/scheduler/scheduler.cpp
+++ b/libraries/scheduler/scheduler.cpp
@@ -82,8 +82,8 @@
 {
     if (auto const* const known = m_jobs.find(it.id); known != nullptr)
     {
-        return known->stored ? submission::stored_before
-                             : submission::taken_before;
+        return known->stored ? submission::already_stored
+                             : submission::already_accepted;
     }
     if (!within_cap(it))
     {
@@ -101,7 +101,7 @@
         job.open_occurrence(0, now);
     }
     m_jobs.refresh_ready(job);
-    return submission::taken;
+    return submission::accepted;
 }
 
 /// Sets the job's times by what tasks of its queue have taken.
@@ -144,11 +144,11 @@
     }
     if (finished(job->phase))
     {
-        return finished(job->stored_phase) ? cancellation::finished_before
-                                           : cancellation::taken;
+        return finished(job->stored_phase) ? cancellation::already_finished
+                                           : cancellation::accepted;
     }
     finish(*job, job_phase::cancelled, now);
-    return cancellation::taken;
+    return cancellation::accepted;
 }
 
 std::optional<job_phase> scheduler::phase_of(workload::job_id it) const
@@ -166,7 +166,7 @@
     return m_jobs.pending(queue);
 }
 
-void scheduler::list(instance_info it, base::instant now)
+void scheduler::instance_listed(instance_info it, base::instant now)
 {
     auto const* const known = m_instances.find(it.id);
     auto const fresh = known == nullptr || !known->listed();
@@ -195,7 +195,7 @@
     m_instances.list(std::move(it), now);
 }
 
-void scheduler::unlist(std::string const& id, base::instant now)
+void scheduler::instance_unlisted(std::string const& id, base::instant now)
 {
     auto* const it = m_instances.find(id);
     if (it == nullptr || !it->listed())
@@ -209,7 +209,7 @@
                   {"lease_left_s", base::seconds_of(it->lease_end() - now)}});
 }
 
-void scheduler::gone(std::string const& id, base::instant now)
+void scheduler::instance_replaced(std::string const& id, base::instant now)
 {
     auto* const it = m_instances.find(id);
     if (it == nullptr)
@@ -253,7 +253,7 @@
     return std::move(changes.records);
 }
 
-void scheduler::batch_returned()
+void scheduler::batch_not_stored()
 {
     auto batch = std::exchange(m_in_flight, std::nullopt);
     if (!batch)
@@ -309,7 +309,7 @@
     }
 }
 
-bool scheduler::batch_open() const noexcept
+bool scheduler::batch_pending() const noexcept
 {
     return m_jobs.anything_changed() || !m_open.starts.empty() ||
            !m_open.stops.empty() || !m_open.seen_ends.empty();
--- a/libraries/scheduler/scheduler.hpp
+++ b/libraries/scheduler/scheduler.hpp
@@ -79,18 +79,18 @@
 
     // What is known of instances.
 
-    void list(instance_info it, base::instant now);
-    void unlist(std::string const& id, base::instant now);
+    void instance_listed(instance_info it, base::instant now);
+    void instance_unlisted(std::string const& id, base::instant now);
     /// Nothing of it runs any more: another life answers at its address.
-    void gone(std::string const& id, base::instant now);
+    void instance_replaced(std::string const& id, base::instant now);
     /// Some configuration has sent a queue to the service.
     [[nodiscard]] bool serves(std::string const& service) const;
     [[nodiscard]] hold_order next_hold(std::string const& id,
                                        base::instant now);
     /// How long the instance need not be asked, unless a start is sent to it.
-    [[nodiscard]] base::duration hold_rest(std::string const& id) const;
-    void reported(hold_report const& it);
-    void silent(std::string const& id, base::instant now);
+    [[nodiscard]] base::duration hold_interval(std::string const& id) const;
+    void hold_answered(hold_report const& it);
+    void hold_unanswered(std::string const& id, base::instant now);
     void start_answered(std::string const& id,
                         attempt_name const& name,
                         start_answer answer,
@@ -100,11 +100,11 @@
                        attempt_name const& name,
                        bool answered,
                        base::instant now);
-    void advised(workload::step_name const& of,
-                 std::vector<std::string> const& asked,
-                 std::vector<permission> const& allowed,
-                 base::duration validity,
-                 base::instant now);
+    void advice_answered(workload::step_name const& of,
+                         std::vector<std::string> const& asked,
+                         std::vector<permission> const& allowed,
+                         base::duration validity,
+                         base::instant now);
     void advice_failed(workload::step_name const& of,
                        std::vector<std::string> const& asked,
                        base::instant now);
@@ -118,7 +118,7 @@
     /// rest.
     void decide(base::instant now);
     /// The last round got to the end of the steps.
-    [[nodiscard]] bool decided_all() const noexcept
+    [[nodiscard]] bool round_complete() const noexcept
     {
         return !m_left_off;
     }
@@ -132,9 +132,9 @@
     void batch_stored(base::instant now);
     /// The batch taken last is surely not stored: what is in it goes into the
     /// next one.
-    void batch_returned();
+    void batch_not_stored();
     /// Anything waits for the next batch.
-    [[nodiscard]] bool batch_open() const noexcept;
+    [[nodiscard]] bool batch_pending() const noexcept;
     /// Starts wait for the next batch, or something else that somebody waits
     /// for; without it a batch may gather for some milliseconds.
     [[nodiscard]] bool batch_urgent() const noexcept
--- a/libraries/scheduler/scheduler_advice.cpp
+++ b/libraries/scheduler/scheduler_advice.cpp
@@ -44,11 +44,11 @@
     return m_allowed_shares.try_emplace(queue, unknown_share).first->second;
 }
 
-void scheduler::advised(workload::step_name const& of,
-                        std::vector<std::string> const& asked,
-                        std::vector<permission> const& allowed,
-                        base::duration validity,
-                        base::instant now)
+void scheduler::advice_answered(workload::step_name const& of,
+                                std::vector<std::string> const& asked,
+                                std::vector<permission> const& allowed,
+                                base::duration validity,
+                                base::instant now)
 {
     m_budget.ended(of);
     auto* const job = m_jobs.find(of.job);
--- a/libraries/scheduler/scheduler_ends.cpp
+++ b/libraries/scheduler/scheduler_ends.cpp
@@ -21,9 +21,9 @@
         return "stopped";
     case end_reason::lease_lapsed:
         return "lease_lapsed";
-    case end_reason::broken:
+    case end_reason::gang_member_ended:
         return "broken";
-    case end_reason::alone:
+    case end_reason::gang_incomplete:
         return "alone";
     case end_reason::instance_crashed:
         return "instance_crashed";
--- a/libraries/scheduler/scheduler_gang_advice.cpp
+++ b/libraries/scheduler/scheduler_gang_advice.cpp
@@ -92,7 +92,7 @@
     }
     auto const most = m_rules.advice_instances;
     auto const spare =
-        m_budget.spare() > 0 || time_for(costs, most) <= short_question;
+        m_budget.spare() > 0 || time_for(costs, most) <= short_advice_request;
     // One question for tickets at a time: a plan changes with each report,
     // and a question for each change held up all others' for seconds. Room
     // that nobody keeps may be taken before the answer is there, so it is
--- a/libraries/scheduler/scheduler_orders.cpp
+++ b/libraries/scheduler/scheduler_orders.cpp
@@ -61,7 +61,7 @@
             // Its only order met another life: it has never begun.
             attempt_ended(*at, name, end_reason::stopped, {}, now);
         }
-        gone(id, now);
+        instance_replaced(id, now);
         return;
     case start_answer::unanswered:
         it->unanswered = true;
@@ -153,7 +153,7 @@
 /// them every second costs the owner more than its work: they are looked at in
 /// turn, so many a second. One that goes silent meanwhile shows it at the next
 /// start there.
-base::duration scheduler::hold_rest(std::string const& id) const
+base::duration scheduler::hold_interval(std::string const& id) const
 {
     auto const& all = m_instances.all();
     auto const at = all.find(id);
--- a/libraries/scheduler/scheduler_reports.cpp
+++ b/libraries/scheduler/scheduler_reports.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-void scheduler::reported(hold_report const& it)
+void scheduler::hold_answered(hold_report const& it)
 {
     auto* const at = m_instances.find(it.instance);
     if (at == nullptr)
@@ -150,7 +150,7 @@
     }
 }
 
-void scheduler::silent(std::string const& id, base::instant now)
+void scheduler::hold_unanswered(std::string const& id, base::instant now)
 {
     auto* const it = m_instances.find(id);
     if (it == nullptr || !it->reachable())
--- a/libraries/scheduler/scheduler_restore.cpp
+++ b/libraries/scheduler/scheduler_restore.cpp
@@ -107,12 +107,13 @@
                                  record const& from,
                                  base::instant now)
 {
-    auto const end = base::capture([&] { return parse_end(id, from.value); });
+    auto const end =
+        base::capture([&] { return parse_stored_status(id, from.value); });
     if (!end)
     {
         report_unreadable(from, end.error());
     }
-    auto const known = end ? end.value() : stored_end{};
+    auto const known = end ? end.value() : stored_status{};
     workload::job_spec spec;
     spec.id = id;
     spec.account = known.account;
--- a/libraries/scheduler/state_record.cpp
+++ b/libraries/scheduler/state_record.cpp
@@ -228,11 +228,12 @@
     return {};
 }
 
-base::result<stored_end> parse_end(workload::job_id id, std::string_view value)
+base::result<stored_status> parse_stored_status(workload::job_id id,
+                                                std::string_view value)
 {
     BOOST_LEAF_AUTO(root, json_codec::parse(value));
     BOOST_LEAF_AUTO(phase, phase_in(root));
-    stored_end out{phase, json_codec::text_or(root, "u"), {}, 0};
+    stored_status out{phase, json_codec::text_or(root, "u"), {}, 0};
     for (auto const& row : json_codec::array_or_empty(root, "w"))
     {
         BOOST_LEAF_AUTO(it, leftover_in(id, row));
--- a/tests/scheduler/account_cap_test.cpp
+++ b/tests/scheduler/account_cap_test.cpp
@@ -148,8 +148,8 @@
 {
     capped_cell it;
     auto gang = job_of("small", 1, 4);
-    BOOST_TEST(
-        (it.decisions.submit(gang, 0, it.now) == scheduler::submission::taken));
+    BOOST_TEST((it.decisions.submit(gang, 0, it.now) ==
+                scheduler::submission::accepted));
     gang.id = {2};
     gang.steps[0].gang = true;
     BOOST_TEST((it.decisions.submit(gang, 0, it.now) ==
@@ -157,7 +157,7 @@
     BOOST_TEST((it.decisions.submit(job_of("small", 3, 1, 3'500), 0, it.now) ==
                 scheduler::submission::over_cap));
     BOOST_TEST((it.decisions.submit(job_of("large", 4, 1, 3'500), 0, it.now) ==
-                scheduler::submission::taken));
+                scheduler::submission::accepted));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/scheduler/advice_test.cpp
+++ b/tests/scheduler/advice_test.cpp
@@ -168,7 +168,7 @@
         {
             asked.insert(question.step.job);
         }
-    } while (!it.decisions.decided_all());
+    } while (!it.decisions.round_complete());
     BOOST_TEST(rounds > 2);
     BOOST_TEST(rounds < 10);
     BOOST_TEST(asked.size() == gangs);
--- a/tests/scheduler/advised_cell.hpp
+++ b/tests/scheduler/advised_cell.hpp
@@ -111,7 +111,8 @@
         {
             allowed.push_back({it.instances[i], "t"});
         }
-        decisions.advised(it.step, it.instances, allowed, validity, now);
+        decisions.advice_answered(it.step, it.instances, allowed, validity,
+                                  now);
     }
 };
 
--- a/tests/scheduler/bench_owner.hpp
+++ b/tests/scheduler/bench_owner.hpp
@@ -64,13 +64,13 @@
     {
         scheduler::instance_info info;
         info.draining = stays_for.has_value();
-        info.stays_for = stays_for;
+        info.min_stay = stays_for;
         info.id = id;
         info.service = "svc";
         info.address = address.empty() ? id : address;
         info.capacity = {4'000, 4'000, 0};
         info.labels = {"kind", "rack"};
-        decisions.list(info, now);
+        decisions.instance_listed(info, now);
     }
 
     /// A report that was asked for now.
@@ -78,7 +78,7 @@
                 std::vector<scheduler::running_row> running = {},
                 std::vector<scheduler::ended_row> ended = {})
     {
-        decisions.reported(
+        decisions.hold_answered(
             {id, now, now, clock_ms(), std::move(running), std::move(ended)});
     }
 
--- a/tests/scheduler/capacity_test.cpp
+++ b/tests/scheduler/capacity_test.cpp
@@ -44,7 +44,7 @@
     info.address = "a";
     info.capacity = capacity;
     info.labels = {"kind", "rack"};
-    it.decisions.list(info, it.now);
+    it.decisions.instance_listed(info, it.now);
 }
 
 } // namespace
--- a/tests/scheduler/crash_limit_test.cpp
+++ b/tests/scheduler/crash_limit_test.cpp
@@ -137,7 +137,7 @@
 {
     constexpr milliseconds lapse{12'000};
     it->advance(milliseconds{10});
-    it->decisions.silent(id, it->now);
+    it->decisions.hold_unanswered(id, it->now);
     (void)it->store();
     if (owner_lost(how))
     {
@@ -147,7 +147,7 @@
     if (how == loss::another_life || how == loss::another_life_and_owner)
     {
         it->list(id);
-        it->decisions.gone(id, it->now);
+        it->decisions.instance_replaced(id, it->now);
     }
     else
     {
--- a/tests/scheduler/gang_advice_test.cpp
+++ b/tests/scheduler/gang_advice_test.cpp
@@ -219,7 +219,7 @@
     auto const& tickets = it.tickets;
     auto const gone = tickets[0].instances.front();
     std::ignore = it.store();
-    it.decisions.gone(gone, it.now);
+    it.decisions.instance_replaced(gone, it.now);
     it.decisions.tick(0, it.now);
     BOOST_REQUIRE(!it.decisions.instances().all().contains(gone));
     it.answer(tickets[0], 0);
--- a/tests/scheduler/owner_test.cpp
+++ b/tests/scheduler/owner_test.cpp
@@ -92,12 +92,12 @@
     it.report("a");
     it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
     it.confirm(it.starts().at(0));
-    it.decisions.silent("a", it.now);
+    it.decisions.hold_unanswered("a", it.now);
     for (int n = 0; n < 20; ++n)
     {
         it.advance(second);
         BOOST_TEST(it.decisions.next_hold("a", it.now).until_ms == 0);
-        it.decisions.silent("a", it.now);
+        it.decisions.hold_unanswered("a", it.now);
         it.decisions.tick(0, it.now);
     }
     it.list("b");
@@ -183,11 +183,11 @@
     BOOST_TEST(it.decide().empty());
     auto const refused = it.decisions.take_batch(it.now);
     BOOST_TEST(!it.decisions.withdraw({1}));
-    it.decisions.batch_returned();
+    it.decisions.batch_not_stored();
     BOOST_TEST(!it.decisions.phase_of({1}).has_value());
-    BOOST_TEST(it.decisions.batch_open());
+    BOOST_TEST(it.decisions.batch_pending());
     BOOST_TEST((it.decisions.take_batch(it.now) == refused));
-    it.decisions.batch_returned();
+    it.decisions.batch_not_stored();
     BOOST_TEST(count_of<scheduler::start_order>(it.store()) == 1U);
 }
 
@@ -199,7 +199,7 @@
     it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
     BOOST_TEST(it.decide().empty());
     BOOST_TEST(!it.decisions.take_batch(it.now).empty());
-    it.decisions.batch_returned();
+    it.decisions.batch_not_stored();
     BOOST_TEST(it.decisions.withdraw({1}));
     BOOST_TEST(it.store().empty());
     it.decisions.submit(bench_owner::job(2, 4), 0, it.now);
@@ -309,7 +309,7 @@
     BOOST_TEST(!batch.empty());
     it.report("a", {}, {end});
     it.report("a", {}, {end});
-    BOOST_TEST(!it.decisions.batch_open());
+    BOOST_TEST(!it.decisions.batch_pending());
     BOOST_TEST(it.decisions.counts().ends_failed == 1U);
     BOOST_TEST(it.decisions.instances().all().at("a")->usable(it.now));
 }
--- a/tests/scheduler/record_test.cpp
+++ b/tests/scheduler/record_test.cpp
@@ -81,15 +81,15 @@
     it.phase = scheduler::job_phase::completed;
     it.leftovers = {{{{{{0x00ab}, 1, 2}, 3}, 4}, "i", {5, 6, 7}, {8, 6, 7}}};
     it.finished_ms = 9;
-    auto const read =
-        base::capture([text = scheduler::state_value(it)]
-                      { return scheduler::parse_end({0x00ab}, text); });
+    auto const read = base::capture(
+        [text = scheduler::state_value(it)]
+        { return scheduler::parse_stored_status({0x00ab}, text); });
     BOOST_REQUIRE(read.has_value());
-    BOOST_TEST(
-        (read.value() == scheduler::stored_end{scheduler::job_phase::completed,
-                                               "team", it.leftovers, 9}));
-    auto const before =
-        base::capture([] { return scheduler::parse_end({1}, R"({"p":2})"); });
+    BOOST_TEST((read.value() ==
+                scheduler::stored_status{scheduler::job_phase::completed,
+                                         "team", it.leftovers, 9}));
+    auto const before = base::capture(
+        [] { return scheduler::parse_stored_status({1}, R"({"p":2})"); });
     BOOST_REQUIRE(before.has_value());
     BOOST_TEST(before.value().account.empty());
 }
--- a/tests/scheduler/world_failures.cpp
+++ b/tests/scheduler/world_failures.cpp
@@ -47,11 +47,11 @@
         }
         if (listed)
         {
-            each->decisions->list(info_of(it), m_now);
+            each->decisions->instance_listed(info_of(it), m_now);
         }
         else
         {
-            each->decisions->unlist(it.id, m_now);
+            each->decisions->instance_unlisted(it.id, m_now);
         }
     }
 }
@@ -68,7 +68,7 @@
     out.draining = it.drains_since.has_value();
     if (out.draining)
     {
-        out.stays_for = std::max(base::duration{0}, it.leaves_at - m_now);
+        out.min_stay = std::max(base::duration{0}, it.leaves_at - m_now);
     }
     return out;
 }
@@ -118,7 +118,7 @@
     it.running.clear();
     for (auto const& name : lost)
     {
-        gang_ends(name, &it, end_reason::broken);
+        gang_ends(name, &it, end_reason::gang_member_ended);
     }
     auto const id = it.id;
     auto const address =
--- a/tests/scheduler/world_orders.cpp
+++ b/tests/scheduler/world_orders.cpp
@@ -152,8 +152,9 @@
                       allowed.push_back({id, "t"});
                   }
               }
-              by->decisions->advised(it.step, it.instances, allowed,
-                                     std::chrono::milliseconds{2'000}, m_now);
+              by->decisions->advice_answered(it.step, it.instances, allowed,
+                                             std::chrono::milliseconds{2'000},
+                                             m_now);
               pump(by);
           });
 }
@@ -180,7 +181,7 @@
                         {
                             if (by->alive)
                             {
-                                by->decisions->silent(id, m_now);
+                                by->decisions->hold_unanswered(id, m_now);
                                 again(hold_pause);
                                 pump(by);
                             }
@@ -191,7 +192,7 @@
               {
                   if (by->alive)
                   {
-                      by->decisions->gone(id, m_now);
+                      by->decisions->instance_replaced(id, m_now);
                       again(hold_pause);
                       pump(by);
                   }
@@ -227,7 +228,7 @@
                         again(hold_pause);
                         if (lost)
                         {
-                            by->decisions->silent(id, m_now);
+                            by->decisions->hold_unanswered(id, m_now);
                             pump(by);
                             return;
                         }
@@ -236,7 +237,7 @@
                         {
                             report.sent_at = m_now;
                         }
-                        by->decisions->reported(report);
+                        by->decisions->hold_answered(report);
                         pump(by);
                     });
           });
--- a/tests/scheduler/world_owner.cpp
+++ b/tests/scheduler/world_owner.cpp
@@ -49,7 +49,7 @@
     for (auto const& id : m_listed)
     {
         auto const& it = *m_instances.at(id);
-        made->decisions->list(info_of(it), m_now);
+        made->decisions->instance_listed(info_of(it), m_now);
     }
     every_tick(made);
 }
@@ -140,7 +140,7 @@
     {
         std::visit([&](auto const& each) { send(it, each); }, order);
     }
-    if (!it->appending && it->decisions->batch_open())
+    if (!it->appending && it->decisions->batch_pending())
     {
         auto const records = it->decisions->take_batch(m_now);
         it->clients.batch_sent();
--- a/tests/scheduler/world_platform.cpp
+++ b/tests/scheduler/world_platform.cpp
@@ -91,7 +91,7 @@
                   auto const found = then.running.find(name);
                   if (found != then.running.end() && !found->second.at_work)
                   {
-                      end(then, name, end_reason::alone);
+                      end(then, name, end_reason::gang_incomplete);
                   }
               });
         return start_answer::running;
@@ -198,7 +198,7 @@
             if (reason == end_reason::failed)
             {
                 m_failed_runs[name.task.of].insert(name.run);
-                reason = end_reason::broken;
+                reason = end_reason::gang_member_ended;
             }
         }
     }
@@ -234,7 +234,7 @@
     list_end(at, name, reason);
     if (spec != nullptr && spec->gang && at_work)
     {
-        gang_ends(name, nullptr, end_reason::broken);
+        gang_ends(name, nullptr, end_reason::gang_member_ended);
     }
 }
 
--- a/utilities/cell_replay/replay.cpp
+++ b/utilities/cell_replay/replay.cpp
@@ -141,7 +141,7 @@
     info.labels = {"kind", "rack-" + std::to_string(number / m_load.rack)};
     m_instances[info.id] = std::make_unique<replayed_instance>(
         info.id, m_load.speeds[number % m_load.speeds.size()]);
-    m_decisions.list(info, m_time.now());
+    m_decisions.instance_listed(info, m_time.now());
     hold(info.id);
 }
 
@@ -152,12 +152,12 @@
     constexpr base::duration notice{milliseconds{6'000}};
     auto info = m_decisions.instances().all().at(id)->info();
     info.draining = true;
-    info.stays_for = notice;
-    m_decisions.list(info, m_time.now());
+    info.min_stay = notice;
+    m_decisions.instance_listed(info, m_time.now());
     m_time.after(notice,
                  [this, id, number]
                  {
-                     m_decisions.gone(id, m_time.now());
+                     m_decisions.instance_replaced(id, m_time.now());
                      m_instances.erase(id);
                      list_instance(number, 1);
                      soon();
@@ -224,7 +224,7 @@
 
 void replay::store()
 {
-    if (m_appending || !m_decisions.batch_open())
+    if (m_appending || !m_decisions.batch_pending())
     {
         return;
     }
@@ -336,8 +336,8 @@
             allowed.push_back({id, "t"});
         }
     }
-    m_decisions.advised(order.step, order.instances, allowed,
-                        kind.queue.advice->validity, m_time.now());
+    m_decisions.advice_answered(order.step, order.instances, allowed,
+                                kind.queue.advice->validity, m_time.now());
     serve_advice();
     soon();
 }
--- a/utilities/cell_replay/replay_instances.cpp
+++ b/utilities/cell_replay/replay_instances.cpp
@@ -159,7 +159,7 @@
                  [this, id, it = std::move(it)]() mutable
                  {
                      it.read_at = m_time.now();
-                     m_decisions.reported(it);
+                     m_decisions.hold_answered(it);
                      soon();
                      m_time.after(hold_pause, [this, id] { hold(id); });
                  });
