--- a/libraries/calls/admission.cpp
+++ b/libraries/calls/admission.cpp
@@ -66,7 +66,7 @@
             // A joiner's peers still use the whole limit. Its own window
             // starts with nothing, so that the limit holds until they have
             // heard of it.
-            it.gate.set_part({}, now, m_settings.settle);
+            it.gate.set_part({}, now, m_settings.settling_time);
         }
         forget_gone(it);
         place(it);
@@ -74,7 +74,7 @@
     }
 }
 
-void admission::heard(entry_demand const& report)
+void admission::update_demand(entry_demand const& report)
 {
     for (auto& [name, it] : m_contracts)
     {
@@ -90,7 +90,7 @@
     }
 }
 
-entry_demand admission::report(base::instant now)
+entry_demand admission::update_shares(base::instant now)
 {
     entry_demand own{m_entry, {}};
     for (auto& [name, it] : m_contracts)
@@ -101,7 +101,7 @@
             own.contracts.push_back(std::move(demand));
         }
     }
-    heard(own);
+    update_demand(own);
     for (auto& [name, it] : m_contracts)
     {
         divide(it, now);
@@ -142,15 +142,16 @@
     if (!open.empty())
     {
         auto const at = uniform(m_random, 0, static_cast<double>(open.size()));
-        return {admission_state::ask, *open[static_cast<std::size_t>(at)], {}};
+        return {
+            admission_state::ask_home, *open[static_cast<std::size_t>(at)], {}};
     }
     auto why = own ? *own : state.gate.refuse_as_exhausted(m_random);
     return {admission_state::refused, {}, std::move(why)};
 }
 
-void admission::home_refused(std::string const& contract,
-                             std::string const& home,
-                             base::instant now)
+void admission::mark_home_exhausted(std::string const& contract,
+                                    std::string const& home,
+                                    base::instant now)
 {
     auto const it = m_contracts.find(contract);
     if (it != m_contracts.end())
@@ -232,7 +233,7 @@
         std::lower_bound(it.homes.begin(), it.homes.end(), m_entry);
     if (self == it.homes.end() || *self != m_entry)
     {
-        it.gate.set_part({}, now, m_settings.settle);
+        it.gate.set_part({}, now, m_settings.settling_time);
         return;
     }
     auto const& limits = it.gate.limits();
@@ -258,7 +259,7 @@
                           : 0;
     auto const units = divide_units(static_cast<double>(limits.calls_at_once),
                                     at_once, m_settings.floor)[index];
-    it.gate.set_part({rate, burst, units}, now, m_settings.settle);
+    it.gate.set_part({rate, burst, units}, now, m_settings.settling_time);
 }
 
 void admission::forget_gone(contract_state& it) const
--- a/libraries/calls/admission.hpp
+++ b/libraries/calls/admission.hpp
@@ -21,7 +21,7 @@
 {
     /// A larger part of a limit is used only after it was ours for so long,
     /// by when every entry has heard of it. At least two gossip rounds.
-    base::duration settle{std::chrono::milliseconds{1'000}};
+    base::duration settling_time{std::chrono::milliseconds{1'000}};
     /// The part of its even share that a home without demand keeps.
     double floor{0.1};
     /// Calls at once that a home has at least, as far as the limit goes: cut
@@ -39,7 +39,7 @@
 enum class admission_state : std::uint8_t
 {
     admitted, ///< Against the part of the limit that is in `home`'s hands.
-    ask,      ///< Ask the entry `home`, which calls `admit_for`.
+    ask_home, ///< Ask the entry `home`, which calls `admit_for`.
     refused,
 };
 
@@ -79,11 +79,11 @@
     void set_live(std::vector<std::string> entries, base::instant now);
 
     /// A peer's report came.
-    void heard(entry_demand const& report);
+    void update_demand(entry_demand const& report);
 
     /// Once a gossip round (5 a second): works out the shares anew and returns
     /// this entry's demand, to be sent to all live entries.
-    [[nodiscard]] entry_demand report(base::instant now);
+    [[nodiscard]] entry_demand update_shares(base::instant now);
 
     /// The next step for a call of this entry that has asked the homes in
     /// `tried` in vain. After `admitted`, here or at the home, `finished`
@@ -95,9 +95,9 @@
 
     /// A home that `next` named refused or could not be reached: it is not
     /// asked for a moment.
-    void home_refused(std::string const& contract,
-                      std::string const& home,
-                      base::instant now);
+    void mark_home_exhausted(std::string const& contract,
+                             std::string const& home,
+                             base::instant now);
 
     /// Another entry asks this one, as a home. Refuses as not run.
     [[nodiscard]] std::optional<refusal> admit_for(std::string const& peer,
--- a/libraries/calls/attempt_rules.cpp
+++ b/libraries/calls/attempt_rules.cpp
@@ -9,7 +9,7 @@
     {
     case attempt_end::not_sent:
     case attempt_end::owner_refused:
-    case attempt_end::owner_moved:
+    case attempt_end::ownership_moved:
     case attempt_end::minion_refused:
         return true;
     case attempt_end::answered:
@@ -44,7 +44,7 @@
 
 bool attempt_rules::costs_budget(attempt_end end) noexcept
 {
-    return end != attempt_end::not_sent && end != attempt_end::owner_moved;
+    return end != attempt_end::not_sent && end != attempt_end::ownership_moved;
 }
 
 bool attempt_rules::may_hedge(model::rerun safety, resend_room room) noexcept
--- a/libraries/calls/attempt_rules.hpp
+++ b/libraries/calls/attempt_rules.hpp
@@ -14,7 +14,7 @@
     answered,        ///< A whole answer with the call's own request id.
     not_sent,        ///< No byte left this entry.
     owner_refused,   ///< The group's owner answered that it sent nothing.
-    owner_moved,     ///< The owner gives the group away; it sent nothing.
+    ownership_moved, ///< The owner gives the group away; it sent nothing.
     minion_refused,  ///< The minion itself said that it did not run it.
     connection_lost, ///< The connection broke after a byte may have left.
     cut_short,       ///< A part of an answer came.
--- a/libraries/calls/call_dispatcher.cpp
+++ b/libraries/calls/call_dispatcher.cpp
@@ -19,15 +19,15 @@
 
 } // namespace
 
-attempt_end end_of(refusal const& why) noexcept
+attempt_end attempt_end_of(refusal const& why) noexcept
 {
-    if (why.work == ran::unknown)
+    if (why.execution == ran::unknown)
     {
         return attempt_end::timed_out;
     }
     if (why.code == refusal_code::stopping)
     {
-        return attempt_end::owner_moved;
+        return attempt_end::ownership_moved;
     }
     return why.code == refusal_code::minion_refused
                ? attempt_end::minion_refused
@@ -42,12 +42,12 @@
 {
 }
 
-void call_dispatcher::heard(group_digest const& it, base::instant now)
+void call_dispatcher::update_group(group_digest const& it, base::instant now)
 {
     m_router.heard(it, now);
 }
 
-void call_dispatcher::forget(std::string const& group)
+void call_dispatcher::remove_group(std::string const& group)
 {
     m_router.forget(group);
 }
@@ -118,7 +118,7 @@
     return out;
 }
 
-dispatch_actions call_dispatcher::caller_gone(std::string const& request_id)
+dispatch_actions call_dispatcher::cancel(std::string const& request_id)
 {
     dispatch_actions out;
     if (m_requests.contains(request_id))
--- a/libraries/calls/call_dispatcher.hpp
+++ b/libraries/calls/call_dispatcher.hpp
@@ -33,7 +33,7 @@
 
 /// The end of an attempt that an owner refused. `not_run` of a minion is told
 /// apart from the owner's own.
-[[nodiscard]] attempt_end end_of(refusal const& why) noexcept;
+[[nodiscard]] attempt_end attempt_end_of(refusal const& why) noexcept;
 
 /// An entry's admitted calls on their way: which owner gets a call, when it is
 /// sent again or a second time, and when its caller gets the final answer.
@@ -47,10 +47,10 @@
                     generator random);
 
     /// A digest came, by gossip or with an owner's answer.
-    void heard(group_digest const& it, base::instant now);
+    void update_group(group_digest const& it, base::instant now);
 
     /// The group has no owner any more, or another one from now on.
-    void forget(std::string const& group);
+    void remove_group(std::string const& group);
 
     /// An admitted call. Precondition: its request id is new here.
     [[nodiscard]] dispatch_actions
@@ -62,7 +62,7 @@
                                                  base::instant now);
 
     /// The caller has gone away: its attempts are cancelled.
-    [[nodiscard]] dispatch_actions caller_gone(std::string const& request_id);
+    [[nodiscard]] dispatch_actions cancel(std::string const& request_id);
 
     /// Sends what backed off, hedges, and gives up at deadlines. Call at
     /// `next_expiry()` or a little later.
@@ -81,7 +81,7 @@
     /// one that is not known. Ask before its final answer is out.
     [[nodiscard]] std::int32_t resends(std::string const& request_id) const;
 
-    [[nodiscard]] bool knows(std::string const& service) const
+    [[nodiscard]] bool knows_service(std::string const& service) const
     {
         return m_router.knows(service);
     }
--- a/libraries/calls/call_outcome.cpp
+++ b/libraries/calls/call_outcome.cpp
@@ -41,7 +41,7 @@
     return it == ran::not_run ? "not_run" : "unknown";
 }
 
-ran ran_from(std::string_view name) noexcept
+ran execution_state_from(std::string_view name) noexcept
 {
     return name == "not_run" ? ran::not_run : ran::unknown;
 }
--- a/libraries/calls/call_outcome.hpp
+++ b/libraries/calls/call_outcome.hpp
@@ -44,13 +44,13 @@
 
 /// The value with this name. Names from a newer version become `unknown` and
 /// `outcome_unknown`, which are never false promises.
-[[nodiscard]] ran ran_from(std::string_view name) noexcept;
+[[nodiscard]] ran execution_state_from(std::string_view name) noexcept;
 [[nodiscard]] refusal_code refusal_code_from(std::string_view name) noexcept;
 
 /// The final answer to a call that was given up on. A value.
 struct refusal
 {
-    ran work{ran::unknown};
+    ran execution{ran::unknown};
     refusal_code code{refusal_code::outcome_unknown};
     /// For people.
     std::string reason;
--- a/libraries/calls/group_digest.hpp
+++ b/libraries/calls/group_digest.hpp
@@ -24,9 +24,9 @@
     std::int32_t busy{0};
     std::int32_t queued{0};
     /// What a call takes on a minion of the group, smoothed.
-    base::duration run{0};
+    base::duration run_time{0};
     /// What a call of an average contract would wait for its slot now.
-    base::duration wait{0};
+    base::duration expected_wait{0};
 
     friend bool operator==(group_digest const&, group_digest const&) = default;
 };
--- a/libraries/calls/idempotency_table.cpp
+++ b/libraries/calls/idempotency_table.cpp
@@ -26,7 +26,7 @@
     // A first call that did not run leaves the key to the next one.
     auto const unused = !added && known.outcome &&
                         !known.outcome->is_answer() &&
-                        known.outcome->why().work == ran::not_run &&
+                        known.outcome->why().execution == ran::not_run &&
                         known.intent.fingerprint == it.fingerprint;
     if (!added && (again || !unused))
     {
@@ -67,8 +67,8 @@
     touch_entry(key, found->second, now);
 }
 
-void idempotency_table::writer_gone(std::string const& incarnation,
-                                    base::instant now)
+void idempotency_table::mark_writer_lost(std::string const& incarnation,
+                                         base::instant now)
 {
     m_gone.emplace(incarnation, now);
     auto const open = m_open.find(incarnation);
@@ -88,13 +88,13 @@
     m_open.erase(open);
 }
 
-key_state idempotency_table::find(idempotency_key const& key,
-                                  std::uint64_t fingerprint) const
+key_state idempotency_table::state_of(idempotency_key const& key,
+                                      std::uint64_t fingerprint) const
 {
     auto const found = m_entries.find(flat(key));
     if (found == m_entries.end())
     {
-        return key_state::fresh;
+        return key_state::unused;
     }
     auto const& known = found->second;
     if (known.intent.fingerprint != fingerprint)
@@ -113,8 +113,8 @@
     {
         return key_state::answered;
     }
-    return known.outcome->why().work == ran::not_run
-               ? key_state::fresh
+    return known.outcome->why().execution == ran::not_run
+               ? key_state::unused
                : key_state::outcome_unknown;
 }
 
@@ -136,7 +136,7 @@
         // It speaks of the first call, which may well have run by now.
         return {ran::unknown, refusal_code::key_in_progress,
                 "the first call with this key is in progress", s_ask_again_s};
-    case key_state::fresh:
+    case key_state::unused:
     case key_state::answered:
     case key_state::outcome_unknown:
         break;
--- a/libraries/calls/idempotency_table.hpp
+++ b/libraries/calls/idempotency_table.hpp
@@ -53,7 +53,7 @@
 /// What a call with a key finds.
 enum class key_state : std::uint8_t
 {
-    fresh,           ///< Never used, or its first call did not run.
+    unused,          ///< Never used, or its first call did not run.
     answered,        ///< The first call's answer is there.
     in_progress,     ///< The first call is still in somebody's hands.
     outcome_unknown, ///< The first call may have run; nobody will learn more.
@@ -80,13 +80,13 @@
 
     /// A process is gone for good (out of the view, or its own log fence is
     /// past): what it held can no longer be learned.
-    void writer_gone(std::string const& incarnation, base::instant now);
+    void mark_writer_lost(std::string const& incarnation, base::instant now);
 
     /// What a call with this key and fingerprint finds. Ask after reading the
     /// log up to its end; `fresh` allows writing an intent, and only a first
     /// intent that was read back allows sending.
-    [[nodiscard]] key_state find(idempotency_key const& key,
-                                 std::uint64_t fingerprint) const;
+    [[nodiscard]] key_state state_of(idempotency_key const& key,
+                                     std::uint64_t fingerprint) const;
 
     /// The first call's outcome, where `find` says `answered`.
     [[nodiscard]] std::optional<call_outcome>
--- a/libraries/calls/minion_health.cpp
+++ b/libraries/calls/minion_health.cpp
@@ -20,7 +20,7 @@
 void minion_health::ended(call_end end, base::duration run, base::instant now)
 {
     m_ended = std::min(m_ended + 1, m_settings.least_calls);
-    auto const bad = end != call_end::good;
+    auto const bad = end != call_end::succeeded;
     m_failing += s_newest * ((bad ? 1.0 : 0.0) - m_failing);
     if (!bad)
     {
--- a/libraries/calls/minion_health.hpp
+++ b/libraries/calls/minion_health.hpp
@@ -45,7 +45,7 @@
 
 enum class call_end : std::uint8_t
 {
-    good,
+    succeeded,
     failed,    ///< Also an answer that says the server failed.
     timed_out, ///< No whole answer came.
 };
--- a/libraries/calls/minion_ledger.cpp
+++ b/libraries/calls/minion_pool.cpp
@@ -1,4 +1,4 @@
-#include <calls/minion_ledger.hpp>
+#include <calls/minion_pool.hpp>
 
 #include <base/hash.hpp>
 
@@ -19,10 +19,10 @@
 
 } // namespace
 
-minion_ledger::minion_ledger(std::string group,
-                             std::string service,
-                             ledger_settings const& settings,
-                             generator random)
+minion_pool::minion_pool(std::string group,
+                         std::string service,
+                         minion_pool_settings const& settings,
+                         generator random)
     : m_group{std::move(group)}
     , m_service{std::move(service)}
     , m_settings{settings}
@@ -32,10 +32,10 @@
 {
 }
 
-ledger_actions minion_ledger::set_minion(model::endpoint const& it,
-                                         base::instant now)
+minion_pool_actions minion_pool::set_minion(model::endpoint const& it,
+                                            base::instant now)
 {
-    ledger_actions out;
+    minion_pool_actions out;
     m_removed.erase(it.id);
     auto const [found, added] =
         m_minions.try_emplace(it.id, it, m_settings.health);
@@ -47,10 +47,10 @@
     return out;
 }
 
-ledger_actions minion_ledger::remove_minion(std::string const& minion,
-                                            base::instant now)
+minion_pool_actions minion_pool::remove_minion(std::string const& minion,
+                                               base::instant now)
 {
-    ledger_actions out;
+    minion_pool_actions out;
     auto const found = m_minions.find(minion);
     if (found == m_minions.end())
     {
@@ -67,10 +67,10 @@
     return out;
 }
 
-void minion_ledger::adopt(std::string const& minion,
-                          std::string const& request_id,
-                          base::instant free_at,
-                          base::instant now)
+void minion_pool::adopt(std::string const& minion,
+                        std::string const& request_id,
+                        base::instant free_at,
+                        base::instant now)
 {
     auto const found = m_minions.find(minion);
     if (found != m_minions.end())
@@ -81,9 +81,9 @@
     }
 }
 
-ledger_actions minion_ledger::offer(call const& it, base::instant now)
+minion_pool_actions minion_pool::offer(call const& it, base::instant now)
 {
-    ledger_actions out;
+    minion_pool_actions out;
     if (!first_sight(it))
     {
         return out;
@@ -111,11 +111,11 @@
     return out;
 }
 
-ledger_actions minion_ledger::answered(std::string const& request_id,
-                                       call_end end,
-                                       base::instant now)
+minion_pool_actions minion_pool::answered(std::string const& request_id,
+                                          call_end end,
+                                          base::instant now)
 {
-    ledger_actions out;
+    minion_pool_actions out;
     auto const found = m_flights.find(request_id);
     if (found == m_flights.end() || !found->second.awaited)
     {
@@ -131,10 +131,10 @@
     return out;
 }
 
-ledger_actions minion_ledger::not_run(std::string const& request_id,
-                                      base::instant now)
+minion_pool_actions minion_pool::not_run(std::string const& request_id,
+                                         base::instant now)
 {
-    ledger_actions out;
+    minion_pool_actions out;
     auto const found = m_flights.find(request_id);
     if (found == m_flights.end())
     {
@@ -153,10 +153,10 @@
     return out;
 }
 
-ledger_actions minion_ledger::unknown(std::string const& request_id,
-                                      base::instant now)
+minion_pool_actions
+minion_pool::connection_closed(std::string const& request_id, base::instant now)
 {
-    ledger_actions out;
+    minion_pool_actions out;
     auto const found = m_flights.find(request_id);
     if (found == m_flights.end())
     {
@@ -177,10 +177,10 @@
     return out;
 }
 
-ledger_actions minion_ledger::freed(std::string const& request_id,
-                                    base::instant now)
+minion_pool_actions minion_pool::freed(std::string const& request_id,
+                                       base::instant now)
 {
-    ledger_actions out;
+    minion_pool_actions out;
     auto const found = m_flights.find(request_id);
     if (found == m_flights.end())
     {
@@ -197,10 +197,10 @@
     return out;
 }
 
-ledger_actions minion_ledger::give_up(std::string const& request_id,
-                                      base::instant now)
+minion_pool_actions minion_pool::give_up(std::string const& request_id,
+                                         base::instant now)
 {
-    ledger_actions out;
+    minion_pool_actions out;
     if (auto const waiting = m_queue.remove(request_id))
     {
         refuse(*waiting, refusal_code::deadline_too_short, now, out);
@@ -215,10 +215,10 @@
     return out;
 }
 
-ledger_actions
-minion_ledger::probed(std::string const& minion, bool there, base::instant now)
+minion_pool_actions
+minion_pool::probed(std::string const& minion, bool there, base::instant now)
 {
-    ledger_actions out;
+    minion_pool_actions out;
     auto const found = m_minions.find(minion);
     if (found != m_minions.end())
     {
@@ -228,9 +228,9 @@
     return out;
 }
 
-ledger_actions minion_ledger::stop()
+minion_pool_actions minion_pool::stop()
 {
-    ledger_actions out;
+    minion_pool_actions out;
     while (auto const it = m_queue.pop())
     {
         out.emplace_back(refuse_call{
@@ -241,7 +241,7 @@
     return out;
 }
 
-group_digest minion_ledger::digest(base::instant now) const
+group_digest minion_pool::digest(base::instant now) const
 {
     group_digest it;
     it.group = m_group;
@@ -252,26 +252,26 @@
         it.busy += std::min(minion.busy(), minion.usable(now));
     }
     it.queued = static_cast<std::int32_t>(m_queue.size());
-    it.run = base::from_seconds(m_run_s);
-    it.wait = it.busy < it.slots && m_queue.empty()
-                  ? base::duration{0}
-                  : wait_of(static_cast<double>(m_queue.size()), now);
+    it.run_time = base::from_seconds(m_run_s);
+    it.expected_wait = it.busy < it.slots && m_queue.empty()
+                           ? base::duration{0}
+                           : wait_of(static_cast<double>(m_queue.size()), now);
     return it;
 }
 
-minion_slots const* minion_ledger::find(std::string const& minion) const
+minion_slots const* minion_pool::find(std::string const& minion) const
 {
     auto const it = m_minions.find(minion);
     return it == m_minions.end() ? nullptr : &it->second;
 }
 
-std::string minion_ledger::minion_of(std::string const& request_id) const
+std::string minion_pool::minion_of(std::string const& request_id) const
 {
     auto const it = m_flights.find(request_id);
     return it == m_flights.end() ? std::string{} : it->second.minion;
 }
 
-bool minion_ledger::first_sight(call const& it)
+bool minion_pool::first_sight(call const& it)
 {
     auto const hash = base::hash_of(it.request_id);
     if (!m_seen.insert(hash).second)
@@ -282,10 +282,10 @@
     return true;
 }
 
-void minion_ledger::send(call const& it,
-                         minion_slots& minion,
-                         base::instant now,
-                         ledger_actions& out)
+void minion_pool::send(call const& it,
+                       minion_slots& minion,
+                       base::instant now,
+                       minion_pool_actions& out)
 {
     minion.take(it.request_id, now);
     m_flights.emplace(it.request_id, flight{minion.endpoint().id, now,
@@ -295,9 +295,9 @@
                                     m_settings.longest_run});
 }
 
-void minion_ledger::stop_waiting(std::string const& request_id,
-                                 flight& it,
-                                 ledger_actions& out)
+void minion_pool::stop_waiting(std::string const& request_id,
+                               flight& it,
+                               minion_pool_actions& out)
 {
     it.awaited = false;
     auto const minion = m_minions.find(it.minion);
@@ -311,7 +311,7 @@
                      "no whole answer came from minion " + it.minion, 0}});
 }
 
-void minion_ledger::note_timeout(flight const& it, base::instant now)
+void minion_pool::note_timeout(flight const& it, base::instant now)
 {
     // A call with little time left when it was sent is late on any minion.
     // Blamed for those, good minions would be taken out just when calls wait.
@@ -325,9 +325,9 @@
     }
 }
 
-void minion_ledger::end_flight(std::string const& request_id,
-                               call_end end,
-                               base::instant now)
+void minion_pool::end_flight(std::string const& request_id,
+                             call_end end,
+                             base::instant now)
 {
     auto const found = m_flights.find(request_id);
     if (found == m_flights.end())
@@ -348,13 +348,13 @@
     {
         health.ended(end, run, now);
     }
-    else if (end == call_end::good)
+    else if (end == call_end::succeeded)
     {
         health.answered_late(run, now);
     }
     // Late answers count too: without them the run time is that of the fast
     // ones only, the queue is let grow by it, and yet more answers are late.
-    if (end == call_end::good && health.state() == health_state::in)
+    if (end == call_end::succeeded && health.state() == health_state::in)
     {
         learn_run(run);
     }
--- a/libraries/calls/minion_ledger.hpp
+++ b/libraries/calls/minion_pool.hpp
@@ -6,7 +6,7 @@
 #include <calls/ejection_rules.hpp>
 #include <calls/generator.hpp>
 #include <calls/group_digest.hpp>
-#include <calls/ledger_action.hpp>
+#include <calls/minion_pool_action.hpp>
 #include <calls/minion_slots.hpp>
 #include <model/endpoint.hpp>
 
@@ -25,7 +25,7 @@
 namespace berylhill::calls
 {
 
-struct ledger_settings
+struct minion_pool_settings
 {
     /// Calls are refused rather than queued for longer than this many times
     /// what a call takes: a queue of one or two runs evens out chance and
@@ -41,31 +41,31 @@
     base::duration first_run{std::chrono::milliseconds{20}};
     health_settings health;
 
-    friend bool operator==(ledger_settings const&,
-                           ledger_settings const&) = default;
+    friend bool operator==(minion_pool_settings const&,
+                           minion_pool_settings const&) = default;
 };
 
 /// What a group's owner knows of its minions and of the calls in its hands.
 /// Each call that it is offered gets exactly one of `refuse_call` and
 /// `deliver_answer`; each `send_to_minion` is to be reported with exactly one
 /// of `answered`, `not_run` and `unknown`. Not thread-safe.
-class minion_ledger
+class minion_pool
 {
 public:
-    minion_ledger(std::string group,
-                  std::string service,
-                  ledger_settings const& settings,
-                  generator random);
+    minion_pool(std::string group,
+                std::string service,
+                minion_pool_settings const& settings,
+                generator random);
 
     /// A minion of the group is live or leaving, as the platform's list or an
     /// announced stop says. A leaving one gets nothing new from now on.
-    [[nodiscard]] ledger_actions set_minion(model::endpoint const& it,
-                                            base::instant now);
+    [[nodiscard]] minion_pool_actions set_minion(model::endpoint const& it,
+                                                 base::instant now);
 
     /// A minion is off the platform's list. Calls on it still end by
     /// `answered`, `not_run` or `unknown`.
-    [[nodiscard]] ledger_actions remove_minion(std::string const& minion,
-                                               base::instant now);
+    [[nodiscard]] minion_pool_actions remove_minion(std::string const& minion,
+                                                    base::instant now);
 
     /// An earlier owner of the group may have this call on the minion. Call
     /// for all of them before the first `offer`; the slot is taken until
@@ -77,41 +77,41 @@
 
     /// A call came for this group. A request id names one attempt: one that
     /// was offered before and whose deadline has not passed does nothing.
-    [[nodiscard]] ledger_actions offer(call const& it, base::instant now);
+    [[nodiscard]] minion_pool_actions offer(call const& it, base::instant now);
 
     /// A whole answer with this request id came. An answer that says the
     /// server failed is `call_end::failed`.
-    [[nodiscard]] ledger_actions
+    [[nodiscard]] minion_pool_actions
     answered(std::string const& request_id, call_end end, base::instant now);
 
     /// No byte of the call left, or the minion said that it did not run it.
-    [[nodiscard]] ledger_actions not_run(std::string const& request_id,
-                                         base::instant now);
+    [[nodiscard]] minion_pool_actions not_run(std::string const& request_id,
+                                              base::instant now);
 
     /// The connection is closed without a whole answer.
-    [[nodiscard]] ledger_actions unknown(std::string const& request_id,
-                                         base::instant now);
+    [[nodiscard]] minion_pool_actions
+    connection_closed(std::string const& request_id, base::instant now);
 
     /// The minion is known to have ended a call whose connection was closed.
-    [[nodiscard]] ledger_actions freed(std::string const& request_id,
-                                       base::instant now);
+    [[nodiscard]] minion_pool_actions freed(std::string const& request_id,
+                                            base::instant now);
 
     /// The caller does not wait any more. It gets its final answer at once; a
     /// call that was sent keeps its slot.
-    [[nodiscard]] ledger_actions give_up(std::string const& request_id,
-                                         base::instant now);
+    [[nodiscard]] minion_pool_actions give_up(std::string const& request_id,
+                                              base::instant now);
 
     /// The answer to a `probe_minion`.
-    [[nodiscard]] ledger_actions
+    [[nodiscard]] minion_pool_actions
     probed(std::string const& minion, bool there, base::instant now);
 
     /// Does what is due at `now`. Call at `next_expiry()` or a little later.
-    [[nodiscard]] ledger_actions expire(base::instant now);
+    [[nodiscard]] minion_pool_actions expire(base::instant now);
 
     [[nodiscard]] base::instant next_expiry(base::instant now) const;
 
     /// Refuses all that wait: the owner is stopping.
-    [[nodiscard]] ledger_actions stop();
+    [[nodiscard]] minion_pool_actions stop();
 
     /// `owner`, `epoch` and `sequence` are left for the caller to set.
     [[nodiscard]] group_digest digest(base::instant now) const;
@@ -147,22 +147,22 @@
 
     [[nodiscard]] bool first_sight(call const& it);
     void forget_seen(base::instant now);
-    void give_up_late(base::instant now, ledger_actions& out);
+    void give_up_late(base::instant now, minion_pool_actions& out);
     void stop_waiting(std::string const& request_id,
                       flight& it,
-                      ledger_actions& out);
-    void dispatch(base::instant now, ledger_actions& out);
+                      minion_pool_actions& out);
+    void dispatch(base::instant now, minion_pool_actions& out);
     void send(call const& it,
               minion_slots& minion,
               base::instant now,
-              ledger_actions& out);
-    void enqueue(call const& it, base::instant now, ledger_actions& out);
+              minion_pool_actions& out);
+    void enqueue(call const& it, base::instant now, minion_pool_actions& out);
     [[nodiscard]] minion_slots* least_loaded(base::duration left,
                                              base::instant now);
     void refuse(call const& it,
                 refusal_code code,
                 base::instant now,
-                ledger_actions& out);
+                minion_pool_actions& out);
     void
     end_flight(std::string const& request_id, call_end end, base::instant now);
     void note_timeout(flight const& it, base::instant now);
@@ -177,7 +177,7 @@
 
     std::string m_group;
     std::string m_service;
-    ledger_settings m_settings;
+    minion_pool_settings m_settings;
     generator m_random;
     /// Ordered, so that equal inputs give equal choices everywhere.
     std::map<std::string, minion_slots> m_minions;
--- a/libraries/calls/ledger_action.hpp
+++ b/libraries/calls/minion_pool_action.hpp
@@ -71,12 +71,12 @@
     friend bool operator==(probe_minion const&, probe_minion const&) = default;
 };
 
-using ledger_action = std::variant<send_to_minion,
-                                   call_queued,
-                                   refuse_call,
-                                   deliver_answer,
-                                   drop_answer,
-                                   probe_minion>;
-using ledger_actions = std::vector<ledger_action>;
+using minion_pool_action = std::variant<send_to_minion,
+                                        call_queued,
+                                        refuse_call,
+                                        deliver_answer,
+                                        drop_answer,
+                                        probe_minion>;
+using minion_pool_actions = std::vector<minion_pool_action>;
 
 } // namespace berylhill::calls
--- a/libraries/calls/minion_ledger_choice.cpp
+++ b/libraries/calls/minion_pool_choice.cpp
@@ -1,10 +1,10 @@
-#include <calls/minion_ledger.hpp>
+#include <calls/minion_pool.hpp>
 
 #include <algorithm>
 #include <cmath>
 
 /// The half of the ledger that chooses: which minion, queue or refusal, and
-/// who is ejected. The events are in minion_ledger.cpp.
+/// who is ejected. The events are in minion_pool.cpp.
 namespace berylhill::calls
 {
 
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void minion_ledger::dispatch(base::instant now, ledger_actions& out)
+void minion_pool::dispatch(base::instant now, minion_pool_actions& out)
 {
     while (!m_queue.empty())
     {
@@ -46,9 +46,9 @@
     }
 }
 
-void minion_ledger::enqueue(call const& it,
-                            base::instant now,
-                            ledger_actions& out)
+void minion_pool::enqueue(call const& it,
+                          base::instant now,
+                          minion_pool_actions& out)
 {
     if (usable_slots(now) == 0)
     {
@@ -76,8 +76,7 @@
     }
 }
 
-minion_slots* minion_ledger::least_loaded(base::duration left,
-                                          base::instant now)
+minion_slots* minion_pool::least_loaded(base::duration left, base::instant now)
 {
     minion_slots* best = nullptr;
     double least = 0;
@@ -105,10 +104,10 @@
     return best;
 }
 
-void minion_ledger::refuse(call const& it,
-                           refusal_code code,
-                           base::instant now,
-                           ledger_actions& out)
+void minion_pool::refuse(call const& it,
+                         refusal_code code,
+                         base::instant now,
+                         minion_pool_actions& out)
 {
     m_refused += 1;
     // Those refused just before come back too; spread over the time that it
@@ -122,7 +121,7 @@
          uniform(m_random, spread / 2, spread * 1.5)}});
 }
 
-void minion_ledger::learn_run(base::duration run)
+void minion_pool::learn_run(base::duration run)
 {
     auto const seconds = base::seconds_of(run);
     m_run_s += s_newest * (seconds - m_run_s);
@@ -133,7 +132,7 @@
     m_fast_run_s = std::clamp(m_fast_run_s, 0.0, m_run_s);
 }
 
-void minion_ledger::judge(minion_slots& minion, base::instant now)
+void minion_pool::judge(minion_slots& minion, base::instant now)
 {
     auto& health = minion.health();
     auto const in_time =
@@ -145,7 +144,7 @@
     }
 }
 
-void minion_ledger::judge_silent(base::instant now)
+void minion_pool::judge_silent(base::instant now)
 {
     for (auto& [id, minion] : m_minions)
     {
@@ -167,7 +166,7 @@
     }
 }
 
-void minion_ledger::erase_removed()
+void minion_pool::erase_removed()
 {
     std::erase_if(m_removed,
                   [&](std::string const& id)
@@ -182,7 +181,7 @@
                   });
 }
 
-bool minion_ledger::may_eject() const
+bool minion_pool::may_eject() const
 {
     std::size_t all = 0;
     std::size_t out = 0;
@@ -198,7 +197,7 @@
     return m_ejection.may_eject(all, out);
 }
 
-peer_figures minion_ledger::peers_of(minion_slots const& except) const
+peer_figures minion_pool::peers_of(minion_slots const& except) const
 {
     std::vector<minion_health const*> peers;
     for (auto const& [id, minion] : m_minions)
@@ -211,7 +210,7 @@
     return ejection_rules::figures_of(peers);
 }
 
-std::int32_t minion_ledger::usable_slots(base::instant now) const
+std::int32_t minion_pool::usable_slots(base::instant now) const
 {
     std::int32_t n = 0;
     for (auto const& [id, minion] : m_minions)
@@ -221,7 +220,7 @@
     return n;
 }
 
-base::duration minion_ledger::wait_of(double turns, base::instant now) const
+base::duration minion_pool::wait_of(double turns, base::instant now) const
 {
     auto const slots = std::max(usable_slots(now), std::int32_t{1});
     return base::from_seconds((turns + 1) * m_run_s /
--- a/libraries/calls/minion_ledger_expiry.cpp
+++ b/libraries/calls/minion_pool_expiry.cpp
@@ -1,4 +1,4 @@
-#include <calls/minion_ledger.hpp>
+#include <calls/minion_pool.hpp>
 
 #include <algorithm>
 
@@ -17,9 +17,9 @@
 
 } // namespace
 
-ledger_actions minion_ledger::expire(base::instant now)
+minion_pool_actions minion_pool::expire(base::instant now)
 {
-    ledger_actions out;
+    minion_pool_actions out;
     forget_seen(now);
     auto const window = base::seconds_of(now - m_refused_since);
     if (window >= s_refused_window_s)
@@ -50,7 +50,7 @@
     return out;
 }
 
-base::instant minion_ledger::next_expiry(base::instant now) const
+base::instant minion_pool::next_expiry(base::instant now) const
 {
     auto next = now + s_look_every;
     if (auto const deadline = m_queue.earliest_deadline())
@@ -64,7 +64,7 @@
     return std::max(next, now + base::duration{1});
 }
 
-void minion_ledger::forget_seen(base::instant now)
+void minion_pool::forget_seen(base::instant now)
 {
     while (!m_seen_until.empty() && m_seen_until.top().first <= now)
     {
@@ -73,7 +73,7 @@
     }
 }
 
-void minion_ledger::give_up_late(base::instant now, ledger_actions& out)
+void minion_pool::give_up_late(base::instant now, minion_pool_actions& out)
 {
     while (!m_deadlines.empty() && m_deadlines.top().first <= now)
     {
--- a/libraries/calls/problem.cpp
+++ b/libraries/calls/problem.cpp
@@ -96,7 +96,7 @@
     body["status"] = it.status;
     body["detail"] = why.reason;
     body["instance"] = std::string{instance};
-    body["ran"] = std::string{name_of(why.work)};
+    body["ran"] = std::string{name_of(why.execution)};
     body["code"] = std::string{name_of(why.code)};
     if (why.retry_after_s > 0)
     {
--- a/libraries/calls/router.cpp
+++ b/libraries/calls/router.cpp
@@ -93,10 +93,10 @@
         return std::nullopt;
     }
     auto const& digest = m_services.at(service->second).at(group).digest;
-    auto const run = base::seconds_of(digest.run);
-    auto const at =
-        now + digest.wait + base::from_seconds(run * s_hedge_after_runs);
-    if (at + digest.run > it.deadline)
+    auto const run = base::seconds_of(digest.run_time);
+    auto const at = now + digest.expected_wait +
+                    base::from_seconds(run * s_hedge_after_runs);
+    if (at + digest.run_time > it.deadline)
     {
         return std::nullopt;
     }
@@ -203,7 +203,7 @@
     {
         return s_no_slots_s;
     }
-    auto const run = base::seconds_of(digest.run);
+    auto const run = base::seconds_of(digest.run_time);
     auto const load =
         static_cast<double>(digest.busy + digest.queued + it.sent_since) /
         static_cast<double>(digest.slots);
@@ -212,7 +212,7 @@
                               0.0);
     // What an old digest says is worth less the older it is.
     auto const full = it.full ? s_full_s : 0;
-    return load * run + base::seconds_of(digest.wait) + age + full;
+    return load * run + base::seconds_of(digest.expected_wait) + age + full;
 }
 
 } // namespace berylhill::calls
--- a/libraries/entry/call_api.cpp
+++ b/libraries/entry/call_api.cpp
@@ -155,7 +155,7 @@
                    {"contract", call.contract},
                    {"service", call.service},
                    {"code", calls::name_of(outcome.why().code)},
-                   {"ran", calls::name_of(outcome.why().work)},
+                   {"ran", calls::name_of(outcome.why().execution)},
                    {"cause", outcome.why().reason}});
     }
 }
--- a/libraries/entry/call_board.cpp
+++ b/libraries/entry/call_board.cpp
@@ -25,7 +25,7 @@
 {
     if (it.code == failure_code::superseded)
     {
-        return calls::attempt_end::owner_moved;
+        return calls::attempt_end::ownership_moved;
     }
     auto const surely_not_sent = it.code == failure_code::unavailable ||
                                  it.code == failure_code::refused;
@@ -54,7 +54,7 @@
         return {attempt_id, calls::attempt_end::answered, std::nullopt};
     }
     auto const& why = answer.value().why();
-    return {attempt_id, calls::end_of(why), why};
+    return {attempt_id, calls::attempt_end_of(why), why};
 }
 
 Json::Value message_of(incoming_call const& call,
@@ -97,13 +97,13 @@
 void call_board::heard(calls::group_digest const& it)
 {
     std::lock_guard const lock{m_mutex};
-    m_dispatcher.heard(it, m_node.clock.now());
+    m_dispatcher.update_group(it, m_node.clock.now());
 }
 
 bool call_board::knows(std::string const& service)
 {
     std::lock_guard const lock{m_mutex};
-    return m_dispatcher.knows(service);
+    return m_dispatcher.knows_service(service);
 }
 
 calls::call_outcome call_board::run(incoming_call const& it,
@@ -204,7 +204,7 @@
         // A dead owner's last digest says that its group is idle, so it would
         // be chosen before all others until the call's deadline. The group is
         // known again by its next owner's digest.
-        m_dispatcher.forget(it.to.group);
+        m_dispatcher.remove_group(it.to.group);
     }
     perform(m_dispatcher.attempt_ended(report_of(it.attempt.request_id, answer),
                                        m_node.clock.now()));
--- a/libraries/entry/call_front.cpp
+++ b/libraries/entry/call_front.cpp
@@ -42,7 +42,7 @@
 void call_front::heard(calls::entry_demand const& it)
 {
     std::lock_guard const lock{m_mutex};
-    m_admission.heard(it);
+    m_admission.update_demand(it);
 }
 
 calls::entry_demand call_front::report()
@@ -60,7 +60,7 @@
     std::lock_guard const lock{m_mutex};
     take_contracts(now);
     m_admission.set_live(std::move(live), now);
-    return m_admission.report(now);
+    return m_admission.update_shares(now);
 }
 
 /// Precondition: the lock is held.
@@ -129,7 +129,7 @@
             return std::nullopt;
         }
         std::lock_guard const lock{m_mutex};
-        m_admission.home_refused(it.contract, home, m_node.clock.now());
+        m_admission.mark_home_exhausted(it.contract, home, m_node.clock.now());
         tried.push_back(home);
     }
 }
--- a/libraries/entry/call_keys.cpp
+++ b/libraries/entry/call_keys.cpp
@@ -107,8 +107,8 @@
 call_keys::answer_of(calls::idempotency_key const& key,
                      std::uint64_t fingerprint)
 {
-    auto const state = m_table.find(key, fingerprint);
-    if (state == calls::key_state::fresh)
+    auto const state = m_table.state_of(key, fingerprint);
+    if (state == calls::key_state::unused)
     {
         return std::nullopt;
     }
@@ -211,7 +211,7 @@
     {
         if (!members.contains(it))
         {
-            m_table.writer_gone(it, now);
+            m_table.mark_writer_lost(it, now);
         }
     }
     m_members_seen = std::move(members);
--- a/libraries/entry/codec.cpp
+++ b/libraries/entry/codec.cpp
@@ -178,8 +178,8 @@
     out["slots"] = it.slots;
     out["busy"] = it.busy;
     out["queued"] = it.queued;
-    out["run_us"] = Json::Int64{it.run.count()};
-    out["wait_us"] = Json::Int64{it.wait.count()};
+    out["run_us"] = Json::Int64{it.run_time.count()};
+    out["wait_us"] = Json::Int64{it.expected_wait.count()};
     return out;
 }
 
@@ -195,8 +195,8 @@
     out.slots = small(it, "slots");
     out.busy = small(it, "busy");
     out.queued = small(it, "queued");
-    out.run = base::duration{number(it, "run_us")};
-    out.wait = base::duration{number(it, "wait_us")};
+    out.run_time = base::duration{number(it, "run_us")};
+    out.expected_wait = base::duration{number(it, "wait_us")};
     return out;
 }
 
@@ -266,7 +266,7 @@
         return out;
     }
     auto const& why = it.why();
-    out["ran"] = std::string{calls::name_of(why.work)};
+    out["ran"] = std::string{calls::name_of(why.execution)};
     out["code"] = std::string{calls::name_of(why.code)};
     out["reason"] = why.reason;
     out["retry_after_s"] = why.retry_after_s;
@@ -283,7 +283,7 @@
             small(it, "status"), text(it, "content_type"), body}};
     }
     calls::refusal out;
-    out.work = calls::ran_from(text(it, "ran"));
+    out.execution = calls::execution_state_from(text(it, "ran"));
     out.code = calls::refusal_code_from(text(it, "code"));
     out.reason = text(it, "reason");
     out.retry_after_s = real(it, "retry_after_s");
--- a/libraries/entry/contract_api.cpp
+++ b/libraries/entry/contract_api.cpp
@@ -122,7 +122,7 @@
     }
     // A limit that was raised, or is new, is used only once every entry must
     // have heard of it.
-    std::this_thread::sleep_for(calls::admission_settings{}.settle);
+    std::this_thread::sleep_for(calls::admission_settings{}.settling_time);
     Json::Value out{Json::objectValue};
     out["offset"] = Json::Int64{offset};
     out["in_force"] = names_json(reached.in_force);
--- a/libraries/entry/minion_call.cpp
+++ b/libraries/entry/minion_call.cpp
@@ -85,7 +85,8 @@
     if (it)
     {
         auto const server_failed = it.value().status >= 500;
-        return server_failed ? calls::call_end::failed : calls::call_end::good;
+        return server_failed ? calls::call_end::failed
+                             : calls::call_end::succeeded;
     }
     if (it.error().code == failure_code::unavailable)
     {
--- a/libraries/entry/minion_group_actor.cpp
+++ b/libraries/entry/minion_group_actor.cpp
@@ -38,7 +38,7 @@
     , m_node{self}
     , m_unit{std::move(unit)}
     , m_epoch{epoch}
-    , m_ledger{m_unit, service_of(m_unit), calls::ledger_settings{},
+    , m_ledger{m_unit, service_of(m_unit), calls::minion_pool_settings{},
                calls::generator{fresh_seed()}}
 {
 }
@@ -143,7 +143,7 @@
     }
     else if (*it.end == calls::call_end::timed_out)
     {
-        perform(m_ledger.unknown(it.request_id, now));
+        perform(m_ledger.connection_closed(it.request_id, now));
     }
     else
     {
@@ -186,7 +186,7 @@
     perform(m_ledger.stop());
 }
 
-void minion_group_actor::perform(calls::ledger_actions const& todo)
+void minion_group_actor::perform(calls::minion_pool_actions const& todo)
 {
     for (auto const& it : todo)
     {
--- a/libraries/entry/minion_group_actor.hpp
+++ b/libraries/entry/minion_group_actor.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <calls/minion_ledger.hpp>
+#include <calls/minion_pool.hpp>
 #include <entry/messages.hpp>
 
 #include <caf/event_based_actor.hpp>
@@ -38,7 +38,7 @@
     void plan_expiry();
     void stop();
 
-    void perform(calls::ledger_actions const& todo);
+    void perform(calls::minion_pool_actions const& todo);
     void perform(calls::send_to_minion const& it);
     void perform(calls::call_queued const& it);
     void perform(calls::refuse_call const& it);
@@ -50,7 +50,7 @@
     std::string m_unit;
     std::int64_t m_epoch;
     std::int64_t m_sequence{0};
-    calls::minion_ledger m_ledger;
+    calls::minion_pool m_ledger;
     std::map<std::string, model::endpoint> m_minions;
     std::map<std::string, reply_promise<call_step>> m_waiting;
     base::instant m_expiry{base::instant::max()};
--- a/tests/calls/admission_test.cpp
+++ b/tests/calls/admission_test.cpp
@@ -46,9 +46,9 @@
     {
         for (auto const& each : peers)
         {
-            it.heard(each);
+            it.update_demand(each);
         }
-        std::ignore = it.report(at_ms(ms));
+        std::ignore = it.update_shares(at_ms(ms));
     }
 }
 
@@ -103,7 +103,7 @@
     auto const early =
         it.next("kitakaze", "report-svc", {"e-2", "e-3"}, at_ms(900));
     BOOST_CHECK(early.state == admission_state::refused);
-    BOOST_CHECK(early.why.work == ran::not_run);
+    BOOST_CHECK(early.why.execution == ran::not_run);
     BOOST_TEST(early.why.retry_after_s > 0);
     rounds(it, 1'000, 1'400);
     BOOST_TEST(admitted(it, at_ms(1'400)) == 10);
@@ -164,18 +164,18 @@
     rounds(it, 0, 2'000);
     BOOST_TEST(admitted(it, at_ms(2'000)) == 10);
     auto const first = it.next("kitakaze", "report-svc", {}, at_ms(2'000));
-    BOOST_CHECK(first.state == admission_state::ask);
+    BOOST_CHECK(first.state == admission_state::ask_home);
     BOOST_TEST(first.home != "e-1");
-    it.home_refused("kitakaze", first.home, at_ms(2'000));
+    it.mark_home_exhausted("kitakaze", first.home, at_ms(2'000));
     auto const second =
         it.next("kitakaze", "report-svc", {first.home}, at_ms(2'000));
-    BOOST_CHECK(second.state == admission_state::ask);
+    BOOST_CHECK(second.state == admission_state::ask_home);
     BOOST_TEST(second.home != first.home);
-    it.home_refused("kitakaze", second.home, at_ms(2'000));
+    it.mark_home_exhausted("kitakaze", second.home, at_ms(2'000));
     // The next call is not carried around the homes in vain.
     auto const next = it.next("kitakaze", "report-svc", {}, at_ms(2'010));
     BOOST_CHECK(next.state == admission_state::refused);
-    BOOST_CHECK(next.why.work == ran::not_run);
+    BOOST_CHECK(next.why.execution == ran::not_run);
 }
 
 BOOST_AUTO_TEST_CASE(a_limit_of_one_call_is_usable)
--- a/tests/calls/attempt_rules_test.cpp
+++ b/tests/calls/attempt_rules_test.cpp
@@ -50,7 +50,7 @@
              s_not_run, s_not_run, s_unknown},
     end_case{"owner_refused", attempt_end::owner_refused, s_resend, s_unknown,
              s_resend, s_not_run, s_not_run, s_unknown},
-    end_case{"owner_moved", attempt_end::owner_moved, s_resend, s_unknown,
+    end_case{"owner_moved", attempt_end::ownership_moved, s_resend, s_unknown,
              s_resend, s_not_run, s_not_run, s_unknown},
     end_case{"minion_refused", attempt_end::minion_refused, s_resend, s_unknown,
              s_resend, s_not_run, s_not_run, s_unknown},
--- a/tests/calls/call_dispatcher_test.cpp
+++ b/tests/calls/call_dispatcher_test.cpp
@@ -27,7 +27,7 @@
     it.epoch = 1;
     it.sequence = sequence;
     it.slots = 48;
-    it.run = std::chrono::milliseconds{20};
+    it.run_time = std::chrono::milliseconds{20};
     return it;
 }
 
@@ -36,7 +36,7 @@
     calls::call_dispatcher it{{}, {}, calls::generator{5}};
     for (auto const* group : {"g-1", "g-2", "g-3"})
     {
-        it.heard(digest_of(group), at_ms(0));
+        it.update_group(digest_of(group), at_ms(0));
     }
     return it;
 }
@@ -90,7 +90,7 @@
         it.attempt_ended({"r-1/1", attempt_end::owner_lost, {}}, at_ms(5));
     auto const refused = only<calls::refuse_request>(out);
     BOOST_REQUIRE(refused.size() == 1U);
-    BOOST_CHECK(refused[0].why.work == ran::unknown);
+    BOOST_CHECK(refused[0].why.execution == ran::unknown);
     BOOST_TEST(it.expire(at_ms(500)).empty());
 }
 
@@ -152,7 +152,7 @@
         auto digest = digest_of(group, 2);
         digest.busy = 48;
         digest.queued = 48;
-        it.heard(digest, at_ms(1));
+        it.update_group(digest, at_ms(1));
     }
     std::ignore = it.start(call_of("r-1", at_ms(1)), "report-svc", at_ms(1));
     auto const refused = only<calls::refuse_request>(it.attempt_ended(
@@ -208,7 +208,7 @@
     auto const out = it.expire(at_ms(1'000));
     auto const refused = only<calls::refuse_request>(out);
     BOOST_REQUIRE(refused.size() == 1U);
-    BOOST_CHECK(refused[0].why.work == ran::unknown);
+    BOOST_CHECK(refused[0].why.execution == ran::unknown);
     BOOST_TEST(only<calls::cancel_attempt>(out).size() == 1U);
 }
 
@@ -218,7 +218,7 @@
     auto const refused = only<calls::refuse_request>(
         it.start(call_of("r-1", at_ms(0)), "handicap-engine", at_ms(0)));
     BOOST_REQUIRE(refused.size() == 1U);
-    BOOST_CHECK(refused[0].why.work == ran::not_run);
+    BOOST_CHECK(refused[0].why.execution == ran::not_run);
     BOOST_TEST(it.in_flight() == 0U);
 }
 
@@ -228,17 +228,17 @@
 BOOST_AUTO_TEST_CASE(a_group_that_changes_hands_is_asked_again_for_free)
 {
     calls::call_dispatcher it{{}, {}, calls::generator{5}};
-    it.heard(digest_of("g-1"), at_ms(0));
+    it.update_group(digest_of("g-1"), at_ms(0));
     std::ignore = it.start(call_of("r-1", at_ms(0)), "report-svc", at_ms(0));
     calls::refusal const stopping{ran::not_run, refusal_code::stopping, "", 0};
     std::string attempt = "r-1/1";
     std::int64_t ms = 0;
     for (int i = 0; i < 4; ++i)
     {
-        BOOST_TEST(
-            it.attempt_ended({attempt, calls::end_of(stopping), stopping},
-                             at_ms(ms))
-                .empty());
+        BOOST_TEST(it.attempt_ended(
+                         {attempt, calls::attempt_end_of(stopping), stopping},
+                         at_ms(ms))
+                       .empty());
         ms += 100;
         auto const again = only<calls::send_to_owner>(it.expire(at_ms(ms)));
         BOOST_REQUIRE(again.size() == 1U);
--- a/tests/calls/ejection_test.cpp
+++ b/tests/calls/ejection_test.cpp
@@ -1,6 +1,6 @@
 #include "fixtures.hpp"
 
-#include <calls/minion_ledger.hpp>
+#include <calls/minion_pool.hpp>
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -24,7 +24,7 @@
 /// How a minion answers; a run of 0 ms is no answer at all.
 struct behaviour
 {
-    call_end end{call_end::good};
+    call_end end{call_end::succeeded};
     std::int64_t run_ms{10};
 };
 
@@ -103,7 +103,7 @@
                 : m_ledger.answered(id, how.end, now()));
     }
 
-    void act(calls::ledger_actions const& actions)
+    void act(calls::minion_pool_actions const& actions)
     {
         for (auto const& it : only<calls::send_to_minion>(actions))
         {
@@ -121,7 +121,7 @@
     }
 
     std::vector<behaviour> m_minions;
-    calls::minion_ledger m_ledger;
+    calls::minion_pool m_ledger;
     std::int64_t m_ms{1};
     std::multimap<std::int64_t, std::string> m_due;
     std::map<std::string, int> m_sends;
@@ -129,8 +129,8 @@
 
 constexpr behaviour s_good{};
 constexpr behaviour s_failing{call_end::failed, 1};
-constexpr behaviour s_slow{call_end::good, 200};
-constexpr behaviour s_silent{call_end::good, 0};
+constexpr behaviour s_slow{call_end::succeeded, 200};
+constexpr behaviour s_silent{call_end::succeeded, 0};
 
 struct bad_case
 {
--- a/tests/calls/fixtures.hpp
+++ b/tests/calls/fixtures.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <calls/call.hpp>
-#include <calls/ledger_action.hpp>
+#include <calls/minion_pool_action.hpp>
 #include <model/contract.hpp>
 #include <model/endpoint.hpp>
 
--- a/tests/calls/idempotency_table_test.cpp
+++ b/tests/calls/idempotency_table_test.cpp
@@ -49,11 +49,11 @@
 BOOST_AUTO_TEST_CASE(a_repeat_gets_the_first_answer)
 {
     auto it = table();
-    BOOST_CHECK(it.find(s_key, s_body) == key_state::fresh);
+    BOOST_CHECK(it.state_of(s_key, s_body) == key_state::unused);
     BOOST_TEST(it.apply(intent("r-1"), at_ms(0)));
-    BOOST_CHECK(it.find(s_key, s_body) == key_state::in_progress);
+    BOOST_CHECK(it.state_of(s_key, s_body) == key_state::in_progress);
     it.apply(answer("r-1"), at_ms(5));
-    BOOST_CHECK(it.find(s_key, s_body) == key_state::answered);
+    BOOST_CHECK(it.state_of(s_key, s_body) == key_state::answered);
     BOOST_TEST(it.outcome_of(s_key)->answer().body == "12.40");
 }
 
@@ -67,7 +67,7 @@
     // The first one read again, as after a lost answer to its append.
     BOOST_TEST(it.apply(intent("r-1", "e-1#1"), at_ms(2)));
     it.apply(answer("r-2"), at_ms(3));
-    BOOST_CHECK(it.find(s_key, s_body) == key_state::in_progress);
+    BOOST_CHECK(it.state_of(s_key, s_body) == key_state::in_progress);
 }
 
 // An entry dies between writing the intent and the answer. Its call may have
@@ -76,15 +76,15 @@
 {
     auto it = table();
     std::ignore = it.apply(intent("r-1"), at_ms(0));
-    it.writer_gone("e-1#1", at_ms(10));
-    BOOST_CHECK(it.find(s_key, s_body) == key_state::outcome_unknown);
+    it.mark_writer_lost("e-1#1", at_ms(10));
+    BOOST_CHECK(it.state_of(s_key, s_body) == key_state::outcome_unknown);
     BOOST_TEST(!it.apply(intent("r-2", "e-2#1"), at_ms(20)));
     auto const why =
         calls::idempotency_table::refusal_for(key_state::outcome_unknown);
-    BOOST_CHECK(why.work == ran::unknown);
+    BOOST_CHECK(why.execution == ran::unknown);
     // Its result was on the way to the log all the same.
     it.apply(answer("r-1"), at_ms(30));
-    BOOST_CHECK(it.find(s_key, s_body) == key_state::answered);
+    BOOST_CHECK(it.state_of(s_key, s_body) == key_state::answered);
 }
 
 // The intent of a dead entry is read only after its death was noticed: the
@@ -92,9 +92,9 @@
 BOOST_AUTO_TEST_CASE(an_intent_read_after_its_writer_is_gone_is_unknown)
 {
     auto it = table();
-    it.writer_gone("e-1#1", at_ms(0));
+    it.mark_writer_lost("e-1#1", at_ms(0));
     std::ignore = it.apply(intent("r-1"), at_ms(10));
-    BOOST_CHECK(it.find(s_key, s_body) == key_state::outcome_unknown);
+    BOOST_CHECK(it.state_of(s_key, s_body) == key_state::outcome_unknown);
 }
 
 BOOST_AUTO_TEST_CASE(a_first_call_that_did_not_run_leaves_the_key)
@@ -102,10 +102,10 @@
     auto it = table();
     std::ignore = it.apply(intent("r-1"), at_ms(0));
     it.apply(refused("r-1", ran::not_run), at_ms(5));
-    BOOST_CHECK(it.find(s_key, s_body) == key_state::fresh);
+    BOOST_CHECK(it.state_of(s_key, s_body) == key_state::unused);
     BOOST_TEST(it.apply(intent("r-2", "e-2#1"), at_ms(10)));
     it.apply(refused("r-2", ran::unknown), at_ms(15));
-    BOOST_CHECK(it.find(s_key, s_body) == key_state::outcome_unknown);
+    BOOST_CHECK(it.state_of(s_key, s_body) == key_state::outcome_unknown);
     BOOST_TEST(!it.apply(intent("r-3"), at_ms(20)));
 }
 
@@ -113,18 +113,19 @@
 {
     auto it = table();
     std::ignore = it.apply(intent("r-1"), at_ms(0));
-    BOOST_CHECK(it.find(s_key, s_body + 1) == key_state::conflict);
+    BOOST_CHECK(it.state_of(s_key, s_body + 1) == key_state::conflict);
     auto const why = calls::idempotency_table::refusal_for(key_state::conflict);
-    BOOST_CHECK(why.work == ran::not_run);
+    BOOST_CHECK(why.execution == ran::not_run);
 }
 
 BOOST_AUTO_TEST_CASE(keys_of_two_contracts_never_meet)
 {
     auto it = table();
     std::ignore = it.apply(intent("r-1"), at_ms(0));
-    BOOST_CHECK(it.find({"cantabrica", s_key.key}, s_body) == key_state::fresh);
-    BOOST_CHECK(it.find({"kitakazefore", "cast-12"}, s_body) ==
-                key_state::fresh);
+    BOOST_CHECK(it.state_of({"cantabrica", s_key.key}, s_body) ==
+                key_state::unused);
+    BOOST_CHECK(it.state_of({"kitakazefore", "cast-12"}, s_body) ==
+                key_state::unused);
 }
 
 BOOST_AUTO_TEST_CASE(keys_age_out_after_their_last_record_and_are_bounded)
--- a/tests/calls/minion_ledger_test.cpp
+++ b/tests/calls/minion_pool_test.cpp
@@ -1,6 +1,6 @@
 #include "fixtures.hpp"
 
-#include <calls/minion_ledger.hpp>
+#include <calls/minion_pool.hpp>
 
 #include <boost/test/unit_test.hpp>
 
@@ -12,15 +12,15 @@
 using calls::ran;
 using calls::refusal_code;
 
-BOOST_AUTO_TEST_SUITE(minion_ledger)
+BOOST_AUTO_TEST_SUITE(minion_pool)
 
 namespace
 {
 
-calls::minion_ledger ledger_with(std::vector<model::endpoint> const& minions,
-                                 calls::ledger_settings settings = {})
+calls::minion_pool ledger_with(std::vector<model::endpoint> const& minions,
+                               calls::minion_pool_settings settings = {})
 {
-    calls::minion_ledger it{"g-1", "report-svc", settings, calls::generator{7}};
+    calls::minion_pool it{"g-1", "report-svc", settings, calls::generator{7}};
     for (auto const& each : minions)
     {
         BOOST_TEST(it.set_minion(each, at_ms(0)).empty());
@@ -38,7 +38,7 @@
     BOOST_REQUIRE(sent.size() == 1U);
     BOOST_TEST(sent[0].minion == "m-1");
     BOOST_TEST(it.minion_of("r-1") == "m-1");
-    auto const out = it.answered("r-1", call_end::good, at_ms(10));
+    auto const out = it.answered("r-1", call_end::succeeded, at_ms(10));
     BOOST_TEST(only<calls::deliver_answer>(out).size() == 1U);
     BOOST_TEST(it.find("m-1")->busy() == 0);
 }
@@ -49,17 +49,17 @@
 // the longest run since the send is over.
 BOOST_AUTO_TEST_CASE(a_call_given_up_on_keeps_its_slot)
 {
-    calls::ledger_settings settings;
+    calls::minion_pool_settings settings;
     settings.longest_run = std::chrono::seconds{5};
     auto it = ledger_with({minion("m-1", 1)}, settings);
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
     auto const gone = only<calls::refuse_call>(it.give_up("r-1", at_ms(100)));
     BOOST_REQUIRE(gone.size() == 1U);
-    BOOST_CHECK(gone[0].why.work == ran::unknown);
+    BOOST_CHECK(gone[0].why.execution == ran::unknown);
     BOOST_TEST(only<calls::send_to_minion>(
                    it.offer(call_of("r-2", at_ms(100)), at_ms(100)))
                    .empty());
-    std::ignore = it.unknown("r-1", at_ms(200));
+    std::ignore = it.connection_closed("r-1", at_ms(200));
     BOOST_TEST(it.find("m-1")->open_connections() == 0);
     std::ignore = it.expire(at_ms(4'980));
     auto const late = call_of("r-3", at_ms(4'980));
@@ -79,10 +79,10 @@
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
     auto const over = only<calls::refuse_call>(it.expire(at_ms(1'000)));
     BOOST_REQUIRE(over.size() == 1U);
-    BOOST_CHECK(over[0].why.work == ran::unknown);
+    BOOST_CHECK(over[0].why.execution == ran::unknown);
     BOOST_TEST(it.find("m-1")->busy() == 1);
     std::ignore = it.offer(call_of("r-2", at_ms(1'100)), at_ms(1'100));
-    auto const out = it.answered("r-1", call_end::good, at_ms(1'110));
+    auto const out = it.answered("r-1", call_end::succeeded, at_ms(1'110));
     BOOST_TEST(only<calls::deliver_answer>(out).empty());
     BOOST_TEST(only<calls::drop_answer>(out).size() == 1U);
     auto const sent = only<calls::send_to_minion>(out);
@@ -98,15 +98,15 @@
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
     std::ignore = it.offer(call_of("r-2", at_ms(0)), at_ms(0));
     auto const second = only<calls::deliver_answer>(
-        it.answered("r-2", call_end::good, at_ms(5)));
+        it.answered("r-2", call_end::succeeded, at_ms(5)));
     BOOST_REQUIRE(second.size() == 1U);
     BOOST_TEST(second[0].request_id == "r-2");
-    BOOST_TEST(
-        only<calls::drop_answer>(it.answered("r-2", call_end::good, at_ms(6)))
-            .size() == 1U);
+    BOOST_TEST(only<calls::drop_answer>(
+                   it.answered("r-2", call_end::succeeded, at_ms(6)))
+                   .size() == 1U);
     BOOST_TEST(it.find("m-1")->busy() == 1);
     auto const first = only<calls::deliver_answer>(
-        it.answered("r-1", call_end::good, at_ms(7)));
+        it.answered("r-1", call_end::succeeded, at_ms(7)));
     BOOST_REQUIRE(first.size() == 1U);
     BOOST_TEST(first[0].request_id == "r-1");
 }
@@ -119,7 +119,7 @@
     auto const call = call_of("r-1/1", at_ms(0));
     BOOST_TEST(it.offer(call, at_ms(0)).size() == 1U);
     BOOST_TEST(it.offer(call, at_ms(1)).empty());
-    std::ignore = it.answered("r-1/1", call_end::good, at_ms(5));
+    std::ignore = it.answered("r-1/1", call_end::succeeded, at_ms(5));
     BOOST_TEST(it.offer(call, at_ms(10)).empty());
 }
 
@@ -157,7 +157,7 @@
         std::ignore = it.offer(call_of(id, at_ms(2)), at_ms(2));
         BOOST_TEST(it.minion_of(id) != at);
     }
-    auto const out = it.answered("r-0", call_end::good, at_ms(5));
+    auto const out = it.answered("r-0", call_end::succeeded, at_ms(5));
     BOOST_TEST(only<calls::deliver_answer>(out).size() == 1U);
     BOOST_TEST(it.find(at)->busy() == 0);
 }
@@ -175,8 +175,8 @@
                    it.offer(call_of("r-3", at_ms(3)), at_ms(3)))
                    .empty());
     std::ignore = it.remove_minion("m-1", at_ms(4));
-    std::ignore = it.answered("r-1", call_end::good, at_ms(5));
-    std::ignore = it.answered("r-2", call_end::good, at_ms(5));
+    std::ignore = it.answered("r-1", call_end::succeeded, at_ms(5));
+    std::ignore = it.answered("r-2", call_end::succeeded, at_ms(5));
     BOOST_TEST(it.find("m-1") == nullptr);
 }
 
@@ -195,7 +195,7 @@
 // start: the queue before it took longer than its deadline.
 BOOST_AUTO_TEST_CASE(a_call_that_cannot_make_its_deadline_is_refused_at_once)
 {
-    calls::ledger_settings settings;
+    calls::minion_pool_settings settings;
     settings.first_run = std::chrono::milliseconds{100};
     auto it = ledger_with({minion("m-1", 1)}, settings);
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
@@ -203,7 +203,7 @@
     tight.deadline = at_ms(150);
     auto const out = only<calls::refuse_call>(it.offer(tight, at_ms(0)));
     BOOST_REQUIRE(out.size() == 1U);
-    BOOST_CHECK(out[0].why.work == ran::not_run);
+    BOOST_CHECK(out[0].why.execution == ran::not_run);
     BOOST_CHECK(out[0].why.code == refusal_code::deadline_too_short);
     BOOST_TEST(out[0].why.retry_after_s > 0);
 }
@@ -221,7 +221,7 @@
     BOOST_TEST(refused == 8U);
     auto const stopped = only<calls::refuse_call>(it.stop());
     BOOST_REQUIRE(stopped.size() == 1U);
-    BOOST_CHECK(stopped[0].why.work == ran::not_run);
+    BOOST_CHECK(stopped[0].why.execution == ran::not_run);
 }
 
 BOOST_AUTO_TEST_CASE(a_call_given_up_on_in_the_queue_did_not_run)
@@ -231,7 +231,7 @@
     std::ignore = it.offer(call_of("r-2", at_ms(0)), at_ms(0));
     auto const out = only<calls::refuse_call>(it.give_up("r-2", at_ms(1)));
     BOOST_REQUIRE(out.size() == 1U);
-    BOOST_CHECK(out[0].why.work == ran::not_run);
+    BOOST_CHECK(out[0].why.execution == ran::not_run);
     BOOST_TEST(it.queued() == 0U);
 }
 
@@ -244,7 +244,8 @@
     {
         auto const id = "slow-" + std::to_string(i);
         std::ignore = it.offer(call_of(id, at_ms(i * 900)), at_ms(i * 900));
-        std::ignore = it.answered(id, call_end::good, at_ms(i * 900 + 900));
+        std::ignore =
+            it.answered(id, call_end::succeeded, at_ms(i * 900 + 900));
     }
     std::size_t sent = 0;
     for (int i = 0; i < 200; ++i)
@@ -255,7 +256,7 @@
         for (auto const& each : only<calls::send_to_minion>(out))
         {
             ++sent;
-            std::ignore = it.answered(each.request_id, call_end::good,
+            std::ignore = it.answered(each.request_id, call_end::succeeded,
                                       at_ms(200'000 + i));
         }
     }
@@ -268,11 +269,11 @@
 BOOST_AUTO_TEST_CASE(late_answers_count_for_the_run_time)
 {
     auto it = ledger_with({minion("m-1")});
-    auto const before = it.digest(at_ms(0)).run;
+    auto const before = it.digest(at_ms(0)).run_time;
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
     BOOST_TEST(only<calls::refuse_call>(it.expire(at_ms(1'000))).size() == 1U);
-    std::ignore = it.answered("r-1", call_end::good, at_ms(1'500));
-    BOOST_TEST((it.digest(at_ms(1'500)).run > before));
+    std::ignore = it.answered("r-1", call_end::succeeded, at_ms(1'500));
+    BOOST_TEST((it.digest(at_ms(1'500)).run_time > before));
 }
 
 // Calls that were sent with little time left are late, and half of the good
@@ -289,7 +290,8 @@
         std::ignore = it.offer(tight, now);
         auto const slow = it.minion_of(id) == "m-1" ? 40 : 10;
         std::ignore = it.expire(at_ms(i * 100 + slow));
-        std::ignore = it.answered(id, call_end::good, at_ms(i * 100 + slow));
+        std::ignore =
+            it.answered(id, call_end::succeeded, at_ms(i * 100 + slow));
     }
     BOOST_CHECK(it.find("m-1")->health().state() == calls::health_state::in);
     BOOST_TEST(it.find("m-1")->health().failing() == 0);
--- a/tests/calls/router_test.cpp
+++ b/tests/calls/router_test.cpp
@@ -24,7 +24,7 @@
     it.sequence = 1;
     it.slots = 10;
     it.busy = busy;
-    it.run = std::chrono::milliseconds{20};
+    it.run_time = std::chrono::milliseconds{20};
     return it;
 }
 
--- a/utilities/bench/calls_decisions.cpp
+++ b/utilities/bench/calls_decisions.cpp
@@ -3,7 +3,7 @@
 
 #include <calls/admission.hpp>
 #include <calls/call_dispatcher.hpp>
-#include <calls/minion_ledger.hpp>
+#include <calls/minion_pool.hpp>
 
 #include <chrono>
 #include <cstdint>
@@ -59,7 +59,7 @@
 /// A ledger under twice its load, so that its queue is always in use.
 void run_ledger(int minions, int contracts)
 {
-    calls::minion_ledger ledger{"g", "report-svc", {}, calls::generator{1}};
+    calls::minion_pool ledger{"g", "report-svc", {}, calls::generator{1}};
     for (int i = 0; i < minions; ++i)
     {
         model::endpoint it;
@@ -71,7 +71,8 @@
     quantiles offers;
     quantiles answers;
     std::deque<std::pair<std::int64_t, std::string>> running;
-    auto const note = [&](std::int64_t at, calls::ledger_actions const& out)
+    auto const note =
+        [&](std::int64_t at, calls::minion_pool_actions const& out)
     {
         for (auto const& it : out)
         {
@@ -85,7 +86,7 @@
     for (std::int64_t i = 0; i < s_calls; ++i)
     {
         auto const call = call_at(i, contracts);
-        calls::ledger_actions out;
+        calls::minion_pool_actions out;
         timed(offers, [&] { out = ledger.offer(call, after(i)); });
         note(i, out);
         while (!running.empty() && running.front().first <= i)
@@ -94,8 +95,8 @@
             running.pop_front();
             timed(answers,
                   [&] {
-                      out =
-                          ledger.answered(id, calls::call_end::good, after(i));
+                      out = ledger.answered(id, calls::call_end::succeeded,
+                                            after(i));
                   });
             note(i, out);
         }
@@ -132,7 +133,7 @@
     {
         if (i % 2'000 == 0)
         {
-            std::ignore = admission.report(after(i));
+            std::ignore = admission.update_shares(after(i));
             for (int g = 0; g < groups; ++g)
             {
                 calls::group_digest it;
@@ -141,7 +142,7 @@
                 it.epoch = 1;
                 it.sequence = i + 1;
                 it.slots = 48;
-                entry.heard(it, after(i));
+                entry.update_group(it, after(i));
             }
         }
         auto const call = call_at(i, contracts);
@@ -173,7 +174,7 @@
 {
     constexpr int n = 10'000;
     auto const before = heap();
-    calls::minion_ledger ledger{"g", "report-svc", {}, calls::generator{1}};
+    calls::minion_pool ledger{"g", "report-svc", {}, calls::generator{1}};
     for (int i = 0; i < n; ++i)
     {
         model::endpoint it;
@@ -196,7 +197,7 @@
     group.epoch = 1;
     group.sequence = 1;
     group.slots = n;
-    entry.heard(group, after(0));
+    entry.update_group(group, after(0));
     auto const with_entry = heap();
     for (std::int64_t i = 0; i < n; ++i)
     {
--- a/utilities/bench/calls_limits.cpp
+++ b/utilities/bench/calls_limits.cpp
@@ -137,13 +137,13 @@
     {
         for (auto const& [name, from] : m_entries)
         {
-            auto const report = from->report(m_time.now());
+            auto const report = from->update_shares(m_time.now());
             m_time.after(s_hop,
                          [this, report]
                          {
                              for (auto const& [to, it] : m_entries)
                              {
-                                 it->heard(report);
+                                 it->update_demand(report);
                              }
                          });
         }
@@ -178,7 +178,7 @@
         {
             start_call(at, at, counted);
         }
-        if (step.state != calls::admission_state::ask)
+        if (step.state != calls::admission_state::ask_home)
         {
             return;
         }
@@ -203,7 +203,7 @@
         }
         if (m_entries.contains(at))
         {
-            m_entries.at(at)->home_refused("kitakaze", home, now);
+            m_entries.at(at)->mark_home_exhausted("kitakaze", home, now);
             admit(at, tried, counted);
         }
     }
--- a/utilities/bench/calls_ours.hpp
+++ b/utilities/bench/calls_ours.hpp
@@ -3,7 +3,7 @@
 #include "calls_experiment.hpp"
 
 #include <calls/call_dispatcher.hpp>
-#include <calls/minion_ledger.hpp>
+#include <calls/minion_pool.hpp>
 
 #include <cstddef>
 #include <cstdint>
@@ -32,7 +32,7 @@
         for (int g = 0; g < s_groups; ++g)
         {
             m_ledgers.emplace_back("g-" + std::to_string(g), "report-svc",
-                                   calls::ledger_settings{},
+                                   calls::minion_pool_settings{},
                                    calls::generator{seed + 3 + g});
         }
         for (int i = 0; i < s_minions; ++i)
@@ -65,7 +65,7 @@
                          {
                              for (auto& each : m_entries)
                              {
-                                 each.heard(digest, m_time.now());
+                                 each.update_group(digest, m_time.now());
                              }
                          });
         }
@@ -145,7 +145,7 @@
         finish(*it.mapped(), good);
     }
 
-    void act(std::size_t g, calls::ledger_actions const& actions)
+    void act(std::size_t g, calls::minion_pool_actions const& actions)
     {
         for (auto const& it : actions)
         {
@@ -155,7 +155,8 @@
             }
             else if (auto const* bad = std::get_if<calls::refuse_call>(&it))
             {
-                back(g, {bad->request_id, calls::end_of(bad->why), bad->why});
+                back(g, {bad->request_id, calls::attempt_end_of(bad->why),
+                         bad->why});
             }
             else if (auto const* good = std::get_if<calls::deliver_answer>(&it))
             {
@@ -178,7 +179,7 @@
                      [this, report, digest = digest_of(g)]
                      {
                          auto& it = m_entries[entry_of(report.attempt_id)];
-                         it.heard(digest, m_time.now());
+                         it.update_group(digest, m_time.now());
                          act(it.attempt_ended(report, m_time.now()));
                      });
     }
@@ -202,11 +203,11 @@
     void answered(std::size_t g, std::string const& id, bool ran)
     {
         auto const now = m_time.now();
-        act(g, ran ? m_ledgers[g].answered(id, calls::call_end::good, now)
+        act(g, ran ? m_ledgers[g].answered(id, calls::call_end::succeeded, now)
                    : m_ledgers[g].not_run(id, now));
     }
 
-    std::vector<calls::minion_ledger> m_ledgers;
+    std::vector<calls::minion_pool> m_ledgers;
     std::vector<calls::call_dispatcher> m_entries;
     std::int64_t m_sequence{0};
     std::unordered_map<std::string, shared_request> m_requests;
