--- a/libraries/cell/adapter.hpp
+++ b/libraries/cell/adapter.hpp
@@ -18,14 +18,14 @@
 struct adapter
 {
     /// The cell's own records.
-    std::unique_ptr<keyed_log> cell;
+    std::unique_ptr<keyed_log> cell_log;
     /// What the operator writes.
-    std::unique_ptr<keyed_log> operators;
+    std::unique_ptr<keyed_log> operator_log;
     /// What the instances write of themselves.
-    std::unique_ptr<keyed_log> instances;
+    std::unique_ptr<keyed_log> instance_log;
     std::unique_ptr<instance_link> orders;
     std::unique_ptr<advice_link> advice;
-    std::unique_ptr<documents> reader;
+    std::unique_ptr<documents> decoder;
     std::unique_ptr<job_protocol> jobs;
 };
 
--- a/libraries/cell/call_check.cpp
+++ b/libraries/cell/call_check.cpp
@@ -7,7 +7,7 @@
 namespace berylhill::cell
 {
 
-std::uint64_t place_of(workload::queue_spec const& it)
+std::uint64_t hash_of_route(workload::queue_spec const& it)
 {
     return base::hash_of(it.host + it.path_prefix);
 }
@@ -26,7 +26,7 @@
         return call_verdict::allowed;
     }
     auto const* const queue = newer.queue_named(it.queue);
-    if (queue == nullptr || place_of(*queue) != it.place)
+    if (queue == nullptr || hash_of_route(*queue) != it.route_hash)
     {
         return call_verdict::no_queue;
     }
@@ -40,7 +40,7 @@
     auto const known =
         account != all.end() &&
         std::ranges::any_of(account->keys, [&](auto const& key)
-                            { return digest_of_key(key) == it.key; });
+                            { return digest_of_key(key) == it.key_digest; });
     return known ? call_verdict::allowed : call_verdict::no_key;
 }
 
--- a/libraries/cell/call_check.hpp
+++ b/libraries/cell/call_check.hpp
@@ -17,7 +17,7 @@
 };
 
 /// Names where callers reach a queue. Pure; thread-safe.
-[[nodiscard]] std::uint64_t place_of(workload::queue_spec const& it);
+[[nodiscard]] std::uint64_t hash_of_route(workload::queue_spec const& it);
 
 /// Names a caller's key. Pure; thread-safe.
 [[nodiscard]] std::uint64_t digest_of_key(std::string_view key);
--- a/libraries/cell/call_router.cpp
+++ b/libraries/cell/call_router.cpp
@@ -78,7 +78,7 @@
     auto const made =
         std::make_shared<trip>(m_loop, std::move(it), std::move(done));
     auto const now = m_clock.now();
-    made->answer_by = now + made->call.patience - answer_margin;
+    made->answer_by = now + made->call.timeout - answer_margin;
     made->search_until = std::min(now + longest_search, made->answer_by);
     ++m_under_way;
     go(made);
@@ -87,7 +87,7 @@
 void call_router::go(trip_pointer const& it)
 {
     auto const left = it->answer_by - m_clock.now();
-    it->call.patience = left;
+    it->call.timeout = left;
     if (left.count() > 0 &&
         m_local(it->call,
                 [this, it](job_answer const& answer) { given(it, answer); }))
--- a/libraries/cell/cell_owner_batch.cpp
+++ b/libraries/cell/cell_owner_batch.cpp
@@ -29,7 +29,7 @@
 
 void cell_owner::wait_for_batch(job_call const& of, job_answer_handler done)
 {
-    auto const until = m_parts.clock->now() + of.patience - answer_margin;
+    auto const until = m_parts.clock->now() + of.timeout - answer_margin;
     auto const submitted =
         of.kind == job_call_kind::submit ? of.job : workload::job_id{};
     m_waiting.add({std::move(done), submitted, until});
--- a/libraries/cell/cell_owner_orders.cpp
+++ b/libraries/cell/cell_owner_orders.cpp
@@ -168,7 +168,7 @@
                       base::instant sent_at)
 {
     auto const now = m_parts.clock->now();
-    switch (it.end)
+    switch (it.outcome)
     {
     case order_end::done:
         it.report.instance = id;
--- a/libraries/cell/instance_link.hpp
+++ b/libraries/cell/instance_link.hpp
@@ -41,7 +41,7 @@
 
 struct hold_result
 {
-    order_end end{order_end::unanswered};
+    order_end outcome{order_end::unanswered};
     /// Without the times, which the caller knows.
     scheduler::hold_report report;
 };
--- a/libraries/cell/job_call.hpp
+++ b/libraries/cell/job_call.hpp
@@ -33,15 +33,15 @@
     std::string account;
     /// The version of the configuration that it was decided by; 0: not named.
     std::int64_t configuration{0};
-    /// Where the queue is reached by that version: `place_of`.
-    std::uint64_t place{0};
+    /// Where the queue is reached by that version: `hash_of_route`.
+    std::uint64_t route_hash{0};
     /// A hash of the key that the caller showed.
-    std::uint64_t key{0};
+    std::uint64_t key_digest{0};
     workload::job_id job;
     /// Of a submission.
     workload::job_spec spec;
     /// How long the client waits for the answer.
-    base::duration patience{0};
+    base::duration timeout{0};
 
     friend bool operator==(job_call const&, job_call const&) = default;
 };
--- a/libraries/cell/job_protocol.hpp
+++ b/libraries/cell/job_protocol.hpp
@@ -23,7 +23,7 @@
 /// A request that makes no call. A value.
 struct refused_request
 {
-    refusal_ground ground{refusal_ground::request};
+    refusal_ground reason{refusal_ground::request};
     network::http_response response;
     /// Of a key that nobody has, so that its owner can be told why: a hash,
     /// not the key; empty where none was shown.
--- a/libraries/cell/keyed_log.hpp
+++ b/libraries/cell/keyed_log.hpp
@@ -37,7 +37,7 @@
 
 struct append_result
 {
-    append_end end{append_end::unanswered};
+    append_end outcome{append_end::unanswered};
     /// Of the first record, where it is stored.
     std::uint64_t offset{0};
     /// Where the log ends, where that is known.
@@ -66,9 +66,9 @@
     /// How long the store may wait for a first record.
     base::duration wait{0};
     /// How much an answer may hold; a single larger record comes alone.
-    std::size_t most_bytes{0};
+    std::size_t max_bytes{0};
     /// Until the call is given up.
-    network::call_patience patience{base::duration{0}};
+    network::call_patience timeouts{base::duration{0}};
 
     friend bool operator==(read_question const&,
                            read_question const&) = default;
@@ -76,13 +76,13 @@
 
 struct read_result
 {
-    read_end end{read_end::failed};
+    read_end outcome{read_end::failed};
     std::uint64_t log_end{0};
     std::vector<log_entry> entries;
     /// Of the answer, for logs; 0: there was none.
-    unsigned status{0};
+    unsigned http_status{0};
     /// Of an answer that did not come whole: its bytes that came.
-    std::uint64_t received{0};
+    std::uint64_t bytes_received{0};
 
     friend bool operator==(read_result const&, read_result const&) = default;
 };
@@ -95,7 +95,7 @@
     bool truncated{false};
     std::vector<log_entry> entries;
     /// Of an answer that did not come whole: its bytes that came.
-    std::uint64_t received{0};
+    std::uint64_t bytes_received{0};
 
     friend bool operator==(newest_result const&,
                            newest_result const&) = default;
@@ -126,9 +126,9 @@
                                       read_handler handler) = 0;
 
     /// The newest record of each key after `after`; a part of them.
-    virtual void newest(std::string const& after,
-                        network::call_patience const& patience,
-                        newest_handler handler) = 0;
+    virtual void read_newest(std::string const& after,
+                             network::call_patience const& patience,
+                             newest_handler handler) = 0;
 };
 
 } // namespace berylhill::cell
--- a/libraries/cell/log_follower.cpp
+++ b/libraries/cell/log_follower.cpp
@@ -98,7 +98,7 @@
 void log_follower::read_newest(std::string const& after)
 {
     m_asked_at = m_clock.now();
-    m_log.newest(
+    m_log.read_newest(
         after, {m_page_timeout, page_stall},
         [this, alive = m_generation, mine = *m_generation](newest_result it)
         {
@@ -113,7 +113,7 @@
 {
     if (!it.answered)
     {
-        failed("newest", 0, it.received);
+        failed("newest", 0, it.bytes_received);
         m_page_timeout = std::min(2 * m_page_timeout, page_timeout_limit);
         after(m_pace.retry, [this] { start(); });
         return;
@@ -165,7 +165,7 @@
 {
     m_asked_at = m_clock.now();
     m_read.begin({m_next, wait, m_most_bytes, limit},
-                 [this](read_outcome it) { tail_read(std::move(it)); });
+                 [this](reliable_read_result it) { tail_read(std::move(it)); });
 }
 
 void log_follower::skip_to(std::uint64_t offset)
@@ -181,11 +181,11 @@
     read_tail(m_pace.wait);
 }
 
-void log_follower::tail_read(read_outcome it)
+void log_follower::tail_read(reliable_read_result it)
 {
     auto done = std::exchange(m_catching_up, nullptr);
     auto& result = it.result;
-    if (result.end == read_end::trimmed)
+    if (result.outcome == read_end::trimmed)
     {
         base::log(base::log_level::info, "log_trimmed",
                   {{"log", m_name}, {"next", m_next}});
@@ -196,9 +196,9 @@
         }
         return;
     }
-    if (result.end != read_end::read)
+    if (result.outcome != read_end::read)
     {
-        failed("read", result.status, result.received);
+        failed("read", result.http_status, result.bytes_received);
         after(m_pace.retry, [this] { read_tail(m_pace.wait); });
         if (done)
         {
--- a/libraries/cell/log_follower.hpp
+++ b/libraries/cell/log_follower.hpp
@@ -121,7 +121,7 @@
     void newest_read(newest_result it);
     void finish_newest();
     void read_tail(base::duration wait, base::duration limit = longest_begin);
-    void tail_read(read_outcome it);
+    void tail_read(reliable_read_result it);
     void read_larger();
     void end_reached(base::instant as_of);
     void after(base::duration pause, std::function<void()> what);
--- a/libraries/cell/node.cpp
+++ b/libraries/cell/node.cpp
@@ -108,7 +108,7 @@
     , m_peers{m_client}
     , m_ownership{m_loop,
                   m_clock,
-                  *m_adapter.cell,
+                  *m_adapter.cell_log,
                   m_peers,
                   m_latency,
                   {m_settings.instance,
@@ -132,7 +132,7 @@
                    call_owner(it, done);
                    return true;
                }}
-    , m_operators{m_loop, m_clock, *m_adapter.operators, "operators",
+    , m_operators{m_loop, m_clock, *m_adapter.operator_log, "operators",
                   operators_pace}
     , m_callers{m_loop,
                 [this](auto it, auto answer)
@@ -221,11 +221,11 @@
     m_yielding = false;
     auto const parts = owner_parts{&m_loop,
                                    &m_clock,
-                                   m_adapter.cell.get(),
-                                   m_adapter.instances.get(),
+                                   m_adapter.cell_log.get(),
+                                   m_adapter.instance_log.get(),
                                    m_adapter.orders.get(),
                                    &m_advice,
-                                   m_adapter.reader.get(),
+                                   m_adapter.decoder.get(),
                                    m_log.get(),
                                    &m_latency};
     m_owner = std::make_unique<cell_owner>(
--- a/libraries/cell/node_answers.cpp
+++ b/libraries/cell/node_answers.cpp
@@ -150,7 +150,7 @@
                   refused_request it,
                   network::responder const& answer)
 {
-    if (it.ground == refusal_ground::configuration && !sure_of_configuration())
+    if (it.reason == refusal_ground::configuration && !sure_of_configuration())
     {
         it.response = {status_unavailable, {{"Retry-After", "1"}}, {}};
     }
--- a/libraries/cell/node_configuration.cpp
+++ b/libraries/cell/node_configuration.cpp
@@ -35,7 +35,7 @@
     }
     auto const begun = m_clock.now();
     auto const read = base::capture(
-        [&] { return m_adapter.reader->configuration(key, value); });
+        [&] { return m_adapter.decoder->configuration(key, value); });
     if (!read)
     {
         base::log(base::log_level::error, "configuration_unreadable",
--- a/libraries/cell/peer_messages.cpp
+++ b/libraries/cell/peer_messages.cpp
@@ -172,10 +172,10 @@
                      {"queue", it.queue},
                      {"account", it.account},
                      {"configuration", it.configuration},
-                     {"place", it.place},
-                     {"key", it.key},
+                     {"place", it.route_hash},
+                     {"key", it.key_digest},
                      {"job", text_of(it.job)},
-                     {"patience", it.patience.count()}};
+                     {"patience", it.timeout.count()}};
     if (it.kind == job_call_kind::submit)
     {
         out["spec"] =
@@ -192,12 +192,13 @@
     out.queue = json_codec::text_or(root, "queue");
     out.account = json_codec::text_or(root, "account");
     out.configuration = json_codec::number_or(root, "configuration");
-    out.place =
+    out.route_hash =
         static_cast<std::uint64_t>(json_codec::number_or(root, "place"));
-    out.key = static_cast<std::uint64_t>(json_codec::number_or(root, "key"));
+    out.key_digest =
+        static_cast<std::uint64_t>(json_codec::number_or(root, "key"));
     BOOST_LEAF_ASSIGN(out.job,
                       workload::parse_job_id(json_codec::text_or(root, "job")));
-    out.patience = micros(root, "patience");
+    out.timeout = micros(root, "patience");
     if (out.kind == job_call_kind::submit)
     {
         BOOST_LEAF_AUTO(spec, scheduler::parse_spec_value(
--- a/libraries/cell/sure_append.cpp
+++ b/libraries/cell/sure_append.cpp
@@ -191,11 +191,11 @@
 void sure_append::answered(append_result const& it, base::instant sent_at)
 {
     --m_awaiting;
-    if (it.end != append_end::unanswered)
+    if (it.outcome != append_end::unanswered)
     {
         m_latency.measured(m_clock.now() - sent_at);
     }
-    switch (it.end)
+    switch (it.outcome)
     {
     case append_end::stored:
         finish(sure_end::stored);
@@ -224,11 +224,11 @@
     case append_end::refused:
     case append_end::full:
         ++m_refusals;
-        if (m_tries == 1 || it.end == append_end::full)
+        if (m_tries == 1 || it.outcome == append_end::full)
         {
-            base::log(
-                base::log_level::warning, "append_refused",
-                {{"at", m_at}, {"full", it.end == append_end::full ? 1 : 0}});
+            base::log(base::log_level::warning, "append_refused",
+                      {{"at", m_at},
+                       {"full", it.outcome == append_end::full ? 1 : 0}});
         }
         if (m_awaiting == 0 && !m_looking)
         {
@@ -266,14 +266,14 @@
 
 void sure_append::looked(read_result const& it)
 {
-    if (it.end == read_end::trimmed)
+    if (it.outcome == read_end::trimmed)
     {
         // The store dropped its history: the records stand or fall by the
         // newest of their keys, and another writer's claim would be newer.
         finish(sure_end::unknown);
         return;
     }
-    if (it.end != read_end::read)
+    if (it.outcome != read_end::read)
     {
         if (over())
         {
--- a/libraries/cell/sure_read.cpp
+++ b/libraries/cell/sure_read.cpp
@@ -137,7 +137,7 @@
 {
     --m_awaiting;
     auto const nothing =
-        it.end == read_end::failed || it.end == read_end::unanswered;
+        it.outcome == read_end::failed || it.outcome == read_end::unanswered;
     if (nothing && m_awaiting > 0)
     {
         return;
@@ -146,7 +146,7 @@
     {
         learn(m_clock.now() - asked_at - wait);
     }
-    auto const idle = it.end == read_end::read && it.entries.empty();
+    auto const idle = it.outcome == read_end::read && it.entries.empty();
     finish(std::move(it), idle ? asked_at + wait : asked_at);
 }
 
--- a/libraries/cell/sure_read.hpp
+++ b/libraries/cell/sure_read.hpp
@@ -34,7 +34,7 @@
 };
 
 /// What a read of a log brought. A value.
-struct read_outcome
+struct reliable_read_result
 {
     read_result result;
     /// When the log was surely as the result says, at the earliest.
@@ -51,7 +51,7 @@
 class sure_read
 {
 public:
-    using handler = std::function<void(read_outcome)>;
+    using handler = std::function<void(reliable_read_result)>;
 
     /// `name` is the log's, for our logs; `slack` is added to the time that the
     /// store may wait before a question counts as overdue.
--- a/tests/cell/call_check_test.cpp
+++ b/tests/cell/call_check_test.cpp
@@ -81,11 +81,11 @@
     it.configuration = sample.decided_by;
     it.queue = sample.queue;
     it.account = sample.account;
-    it.key = cell::digest_of_key(sample.key);
+    it.key_digest = cell::digest_of_key(sample.key);
     workload::queue_spec place;
     place.host = "h";
     place.path_prefix = sample.prefix;
-    it.place = cell::place_of(place);
+    it.route_hash = cell::hash_of_route(place);
     BOOST_TEST((check(it, newer()) == sample.verdict));
 }
 
--- a/tests/cell/fake_log.hpp
+++ b/tests/cell/fake_log.hpp
@@ -66,23 +66,23 @@
         cell::append_result out;
         if (next == fate::refuse)
         {
-            out.end = cell::append_end::refused;
+            out.outcome = cell::append_end::refused;
         }
         else if (next == fate::delay)
         {
             m_late.emplace_back(at, records);
-            out.end = cell::append_end::unanswered;
+            out.outcome = cell::append_end::unanswered;
         }
         else if (at != log.size())
         {
-            out.end = cell::append_end::conflict;
+            out.outcome = cell::append_end::conflict;
             out.log_end = log.size();
         }
         else
         {
             put(records);
-            out.end = next == fate::store ? cell::append_end::stored
-                                          : cell::append_end::unanswered;
+            out.outcome = next == fate::store ? cell::append_end::stored
+                                              : cell::append_end::unanswered;
         }
         boost::asio::post(m_loop, [handler = std::move(handler), out]
                           { handler(out); });
@@ -94,13 +94,14 @@
         ++reads;
         auto const from = it.from;
         cell::read_result out;
-        out.end = from < first ? cell::read_end::trimmed : cell::read_end::read;
+        out.outcome =
+            from < first ? cell::read_end::trimmed : cell::read_end::read;
         out.log_end = log.size();
         std::size_t bytes = 0;
         for (auto n = from; n < log.size() && from >= first; ++n)
         {
             bytes += log[n].key.size() + log[n].value.size();
-            if (bytes > it.most_bytes && (strict_size || !out.entries.empty()))
+            if (bytes > it.max_bytes && (strict_size || !out.entries.empty()))
             {
                 break;
             }
@@ -110,14 +111,14 @@
         auto const call = std::make_shared<read_call>(m_loop);
         auto const silent = std::exchange(silent_reads, 0) > 0;
         auto const takes = time_on_link(out.entries);
-        call->answer(silent ? 2 * it.patience.begin : read_delay, takes,
-                     it.patience.begin, std::move(out), std::move(handler));
+        call->answer(silent ? 2 * it.timeouts.begin : read_delay, takes,
+                     it.timeouts.begin, std::move(out), std::move(handler));
         return call;
     }
 
-    void newest(std::string const& after,
-                network::call_patience const& patience,
-                cell::newest_handler handler) override
+    void read_newest(std::string const& after,
+                     network::call_patience const& patience,
+                     cell::newest_handler handler) override
     {
         std::map<std::string, std::uint64_t> last;
         for (std::uint64_t n = 0; n < log.size(); ++n)
@@ -242,7 +243,7 @@
                     if (late)
                     {
                         it = {};
-                        it.end = cell::read_end::unanswered;
+                        it.outcome = cell::read_end::unanswered;
                     }
                     self->m_begun = true;
                     self->finish(late ? base::duration{0} : takes,
@@ -286,9 +287,9 @@
             {
                 m_queue -= slow_time;
                 cell::append_result out;
-                out.end = at == log.size() ? cell::append_end::stored
-                                           : cell::append_end::conflict;
-                if (out.end == cell::append_end::stored)
+                out.outcome = at == log.size() ? cell::append_end::stored
+                                               : cell::append_end::conflict;
+                if (out.outcome == cell::append_end::stored)
                 {
                     put(records);
                 }
--- a/tests/cell/sure_read_test.cpp
+++ b/tests/cell/sure_read_test.cpp
@@ -23,11 +23,12 @@
 
 struct fixture
 {
-    cell::read_outcome read(base::duration wait = milliseconds{0})
+    cell::reliable_read_result read(base::duration wait = milliseconds{0})
     {
-        std::optional<cell::read_outcome> out;
+        std::optional<cell::reliable_read_result> out;
         reader.begin({0, wait, 1'024, cell::longest_begin},
-                     [&](cell::read_outcome it) { out = std::move(it); });
+                     [&](cell::reliable_read_result it)
+                     { out = std::move(it); });
         auto const end = clock.now() + std::chrono::seconds{6};
         while (!out && clock.now() < end)
         {
@@ -101,7 +102,7 @@
 BOOST_AUTO_TEST_CASE(a_store_that_never_answers_is_given_up)
 {
     log.read_delay = std::chrono::seconds{60};
-    BOOST_TEST((read().result.end == cell::read_end::unanswered));
+    BOOST_TEST((read().result.outcome == cell::read_end::unanswered));
     BOOST_TEST(log.reads == 4U);
 }
 
--- a/tests/platform_adapter/job_requests_test.cpp
+++ b/tests/platform_adapter/job_requests_test.cpp
@@ -114,7 +114,7 @@
     auto const end = platform::job_requests{}.decode(request, configuration());
     auto const* const call = std::get_if<cell::job_call>(&end);
     BOOST_REQUIRE(call != nullptr);
-    BOOST_TEST((call->patience == std::chrono::milliseconds{1'500}));
+    BOOST_TEST((call->timeout == std::chrono::milliseconds{1'500}));
     workload::step_spec step;
     step.tasks = 4;
     step.need = {500, 256, 1};
