--- a/libraries/cell/call_check.cpp
+++ b/libraries/cell/call_check.cpp
@@ -25,7 +25,7 @@
     {
         return call_verdict::allowed;
     }
-    auto const* const queue = newer.queue_named(it.queue);
+    auto const* const queue = newer.find_queue(it.queue);
     if (queue == nullptr || place_of(*queue) != it.place)
     {
         return call_verdict::no_queue;
--- a/libraries/cell/node.cpp
+++ b/libraries/cell/node.cpp
@@ -251,8 +251,8 @@
     network::server_limits limits;
     limits.header_bytes = asked.header_bytes;
     limits.body_bytes = asked.body_bytes;
-    limits.request_time = asked.header_time;
-    limits.idle_time = asked.idle_time;
+    limits.request_time = asked.header_timeout;
+    limits.idle_time = asked.idle_timeout;
     limits.connections =
         static_cast<std::size_t>(std::min(by_descriptors, by_memory));
     m_callers.set_limits(limits);
--- a/libraries/cell/node_answers.cpp
+++ b/libraries/cell/node_answers.cpp
@@ -111,7 +111,7 @@
         done({});
         return;
     }
-    m_adapter.advice->ask(name.value().of, it.instances, it.timeout,
+    m_adapter.advice->ask(name.value().step, it.instances, it.timeout,
                           std::move(done));
 }
 
--- a/libraries/entry/job_shard_actor.cpp
+++ b/libraries/entry/job_shard_actor.cpp
@@ -88,7 +88,7 @@
 
 void job_shard_actor::tick()
 {
-    auto const busy = m_queue != nullptr && m_queue->jobs() > 0;
+    auto const busy = m_queue != nullptr && m_queue->job_count() > 0;
     delayed_send(this, busy ? s_tick : s_idle_tick, tick_atom::value);
     auto const now = m_node.clock.now();
     wake_waiters(now);
@@ -156,7 +156,7 @@
 void job_shard_actor::decide(base::instant now)
 {
     auto const due =
-        m_queue->waiting_tasks() > 0 || now >= m_queue->next_wake();
+        m_queue->waiting_tasks() > 0 || now >= m_queue->next_wakeup();
     if (due && acting())
     {
         run(m_queue->decide(now, s_most_decisions));
@@ -216,8 +216,8 @@
                    send();
                    return;
                }
-               run(m_queue->refused(attempt, placement::hold_state::full,
-                                    m_node.clock.now()));
+               run(m_queue->on_refused(attempt, placement::hold_state::full,
+                                       m_node.clock.now()));
            });
 }
 
@@ -318,16 +318,16 @@
         switch (one.state)
         {
         case order_state::held:
-            run(m_queue->held(one.attempt, group, now));
+            run(m_queue->on_held(one.attempt, group, now));
             break;
         case order_state::started:
             m_started_at_us.try_emplace(one.attempt.task.job,
                                         m_node.clock.wall_us());
-            run(m_queue->started(one.attempt, group, now));
+            run(m_queue->on_started(one.attempt, group, now));
             break;
         case order_state::refused:
             m_placed.erase(one.attempt);
-            run(m_queue->refused(one.attempt, one.why, now));
+            run(m_queue->on_refused(one.attempt, one.why, now));
             break;
         }
     }
@@ -348,15 +348,15 @@
         if (surely_not_taken)
         {
             m_placed.erase(it.request.attempt);
-            run(m_queue->refused(it.request.attempt,
-                                 placement::hold_state::full, now));
+            run(m_queue->on_refused(it.request.attempt,
+                                    placement::hold_state::full, now));
             continue;
         }
-        run(m_queue->unanswered(it.request.attempt));
+        run(m_queue->on_unanswered(it.request.attempt));
     }
     for (auto const& it : orders.commits)
     {
-        run(m_queue->unanswered(it));
+        run(m_queue->on_unanswered(it));
     }
     auto& waiting = m_outboxes[orders.unit].waiting;
     waiting.releases.insert(waiting.releases.end(), orders.releases.begin(),
--- a/libraries/entry/job_shard_log.cpp
+++ b/libraries/entry/job_shard_log.cpp
@@ -86,7 +86,7 @@
             continue;
         }
         m_placed.erase(end.attempt);
-        run(m_queue->finished(end, m_node.clock.now()));
+        run(m_queue->on_finished(end, m_node.clock.now()));
         settle(true);
     }
 }
@@ -99,7 +99,7 @@
            {
                if (ended && m_placed.erase(end.attempt) != 0)
                {
-                   run(m_queue->finished(end, m_node.clock.now()));
+                   run(m_queue->on_finished(end, m_node.clock.now()));
                }
                settle(ended.has_value());
            });
--- a/libraries/entry/job_shard_recovery.cpp
+++ b/libraries/entry/job_shard_recovery.cpp
@@ -231,7 +231,7 @@
                               jobs::job_entry const& entry,
                               base::instant now)
 {
-    if (m_queue->view_of(job))
+    if (m_queue->status_of(job))
     {
         // Accepted by this owner while it was collecting.
         return;
@@ -315,13 +315,13 @@
     for (auto const& one : lost)
     {
         m_placed.erase(one);
-        run(m_queue->finished({one,
-                               model::task_end::lapsed,
-                               "",
-                               {},
-                               0,
-                               "lost with the rack's former owner"},
-                              now));
+        run(m_queue->on_finished({one,
+                                  model::task_end::lapsed,
+                                  "",
+                                  {},
+                                  0,
+                                  "lost with the rack's former owner"},
+                                 now));
     }
 }
 
--- a/libraries/entry/job_shard_requests.cpp
+++ b/libraries/entry/job_shard_requests.cpp
@@ -58,7 +58,7 @@
         }
     }
     auto const admissible =
-        base::capture([&] { return m_queue->admissible(it.request); });
+        base::capture([&] { return m_queue->check_admission(it.request); });
     if (!admissible)
     {
         m_keys_pending.erase(key);
@@ -102,7 +102,7 @@
 Json::Value job_shard_actor::job_json(std::string const& job) const
 {
     auto const& entry = *m_book.find(job);
-    auto const view = m_queue->view_of(job);
+    auto const view = m_queue->status_of(job);
     Json::Value out{Json::objectValue};
     out["id"] = job;
     out["contract"] = entry.request.contract;
@@ -185,7 +185,7 @@
         it.answer.set(job_json(it.job));
         return;
     }
-    if (!m_queue->view_of(it.job) && m_phase != phase::complete)
+    if (!m_queue->status_of(it.job) && m_phase != phase::complete)
     {
         it.answer.set(not_ready());
         return;
--- a/libraries/entry/worker_group_actor.cpp
+++ b/libraries/entry/worker_group_actor.cpp
@@ -198,7 +198,7 @@
 
 void worker_group_actor::expire_holds(base::instant now)
 {
-    for (auto const& it : m_ledger.expire(now))
+    for (auto const& it : m_ledger.expire_holds(now))
     {
         m_attempts.erase(it);
     }
@@ -216,7 +216,7 @@
         auto const answered = it.second.lease.answered_at();
         if (answered && now - *answered > quiet)
         {
-            m_ledger.set_silent(it.first, true);
+            m_ledger.set_unresponsive(it.first, true);
         }
         if (it.second.lapse_seen || !it.second.lease.lapsed(now) || !acting())
         {
@@ -237,7 +237,7 @@
         for (auto const& attempt : lost)
         {
             it.second.outbox.forget(attempt);
-            m_ledger.finished(attempt, model::task_end::lapsed, now);
+            m_ledger.on_finished(attempt, model::task_end::lapsed, now);
             ended({attempt,
                    model::task_end::lapsed,
                    it.first,
--- a/libraries/entry/worker_group_exchange.cpp
+++ b/libraries/entry/worker_group_exchange.cpp
@@ -133,7 +133,7 @@
         counted.planned = task.planned;
         counted.at = phase::started;
     }
-    perform(m_ledger.observe(it.worker, answer.running, now), now);
+    perform(m_ledger.on_report(it.worker, answer.running, now), now);
     settle_request(it.worker, *it.request, answer, now);
     if (m_barrier)
     {
@@ -158,7 +158,7 @@
             continue;
         }
         m_workers.at(worker).outbox.forget(it.attempt);
-        m_ledger.finished(it.attempt, it.end, now);
+        m_ledger.on_finished(it.attempt, it.end, now);
         ended({it.attempt, it.end, worker, it.peak, it.run_s, it.detail}, true);
     }
 }
@@ -178,7 +178,7 @@
         {
             return;
         }
-        m_ledger.finished(it, end, now);
+        m_ledger.on_finished(it, end, now);
         ended({it, end, worker, {}, 0, "the worker does not know it"}, false);
     };
     for (auto const& it : request.starts)
--- a/libraries/entry/worker_group_orders.cpp
+++ b/libraries/entry/worker_group_orders.cpp
@@ -142,7 +142,7 @@
     auto const worker = m_workers.find(order->worker);
     if (worker == m_workers.end())
     {
-        m_ledger.finished(it, model::task_end::lapsed, now);
+        m_ledger.on_finished(it, model::task_end::lapsed, now);
         m_attempts.erase(it);
         return {it, order_state::refused, placement::hold_state::full};
     }
--- a/libraries/placement/group_ledger.cpp
+++ b/libraries/placement/group_ledger.cpp
@@ -47,7 +47,7 @@
     return gone;
 }
 
-void group_ledger::set_silent(std::string const& worker, bool silent)
+void group_ledger::set_unresponsive(std::string const& worker, bool silent)
 {
     auto const it = m_workers.find(worker);
     if (it != m_workers.end())
@@ -127,9 +127,9 @@
     place(it->second, std::move(found));
 }
 
-void group_ledger::finished(model::attempt_id const& attempt,
-                            model::task_end end,
-                            base::instant now)
+void group_ledger::on_finished(model::attempt_id const& attempt,
+                               model::task_end end,
+                               base::instant now)
 {
     auto const it = m_tasks.find(attempt);
     if (it == m_tasks.end())
@@ -162,9 +162,9 @@
 }
 
 std::vector<ledger_action>
-group_ledger::observe(std::string const& worker,
-                      std::vector<platform::running_task> const& running,
-                      base::instant now)
+group_ledger::on_report(std::string const& worker,
+                        std::vector<platform::running_task> const& running,
+                        base::instant now)
 {
     advance(now);
     auto const found = m_workers.find(worker);
@@ -225,7 +225,7 @@
     return actions;
 }
 
-std::vector<model::attempt_id> group_ledger::expire(base::instant now)
+std::vector<model::attempt_id> group_ledger::expire_holds(base::instant now)
 {
     advance(now);
     std::vector<model::attempt_id> over;
@@ -308,12 +308,12 @@
     return it;
 }
 
-std::vector<worker_account> group_ledger::accounts() const
+std::vector<worker_summary> group_ledger::worker_summaries() const
 {
-    std::vector<worker_account> all;
+    std::vector<worker_summary> all;
     for (auto const& [id, on] : m_workers)
     {
-        worker_account it;
+        worker_summary it;
         it.worker = id;
         it.capacity = on.listed.capacity;
         it.tasks = static_cast<std::int32_t>(on.tasks.size());
--- a/libraries/placement/group_ledger.hpp
+++ b/libraries/placement/group_ledger.hpp
@@ -36,7 +36,7 @@
 };
 
 /// One worker's account, for status pages and tests.
-struct worker_account
+struct worker_summary
 {
     std::string worker;
     model::resources capacity;
@@ -70,7 +70,7 @@
 
     /// The worker does not answer (or does again); it gets nothing new
     /// meanwhile, and its tasks stay counted.
-    void set_silent(std::string const& worker, bool silent);
+    void set_unresponsive(std::string const& worker, bool silent);
 
     /// The share of attempts that fail in the whole cell, 0 to 1.
     void set_cell_failure_rate(double rate);
@@ -101,19 +101,19 @@
 
     /// The attempt has ended, or was never started. Unknown attempts are
     /// ignored, since ends are repeated until acknowledged.
-    void finished(model::attempt_id const& attempt,
-                  model::task_end end,
-                  base::instant now);
+    void on_finished(model::attempt_id const& attempt,
+                     model::task_end end,
+                     base::instant now);
 
     /// Takes a worker's report. Precondition: the ends in the same answer were
     /// given to `finished` first, and answers come in the order of exchanges.
     std::vector<ledger_action>
-    observe(std::string const& worker,
-            std::vector<platform::running_task> const& running,
-            base::instant now);
+    on_report(std::string const& worker,
+              std::vector<platform::running_task> const& running,
+              base::instant now);
 
     /// Drops holds whose time is over and returns them.
-    std::vector<model::attempt_id> expire(base::instant now);
+    std::vector<model::attempt_id> expire_holds(base::instant now);
 
     /// Keeps the group's room for one job until `until`: others get in only if
     /// they will have ended by `frees_at`. False when it is kept for another.
@@ -124,7 +124,7 @@
     void unreserve(std::string const& job);
 
     [[nodiscard]] group_digest digest() const;
-    [[nodiscard]] std::vector<worker_account> accounts() const;
+    [[nodiscard]] std::vector<worker_summary> worker_summaries() const;
     /// The worker that holds or runs the attempt; empty for none.
     [[nodiscard]] std::string worker_of(model::attempt_id const& attempt) const;
 
--- a/libraries/placement/job_queue.cpp
+++ b/libraries/placement/job_queue.cpp
@@ -120,13 +120,13 @@
     {
         return base::done{};
     }
-    BOOST_LEAF_CHECK(admissible(request));
+    BOOST_LEAF_CHECK(check_admission(request));
     add(id, request, now);
     return base::done{};
 }
 
 base::result<base::done>
-job_queue::admissible(model::job_request const& request) const
+job_queue::check_admission(model::job_request const& request) const
 {
     auto const found = m_account_index.find(request.contract);
     if (found == m_account_index.end())
@@ -326,14 +326,14 @@
     return close(*it, model::job_state::cancelled, "cancelled");
 }
 
-std::optional<job_view> job_queue::view_of(std::string const& job) const
+std::optional<job_status> job_queue::status_of(std::string const& job) const
 {
     auto const it = find(job);
     if (it == nullptr)
     {
         return std::nullopt;
     }
-    job_view view;
+    job_status view;
     view.request = it->request;
     view.state = it->state;
     for (auto const& task : it->tasks)
@@ -347,7 +347,7 @@
     return view;
 }
 
-model::resources job_queue::used_by(std::string const& contract) const
+model::resources job_queue::usage_of(std::string const& contract) const
 {
     auto const it = m_account_index.find(contract);
     return it == m_account_index.end()
--- a/libraries/placement/job_queue.hpp
+++ b/libraries/placement/job_queue.hpp
@@ -37,7 +37,7 @@
 };
 
 /// What is known of a job, for status pages.
-struct job_view
+struct job_status
 {
     model::job_request request;
     model::job_state state{model::job_state::queued};
@@ -76,7 +76,7 @@
 
     /// Whether `submit` would take the job now; fails as it does.
     [[nodiscard]] base::result<base::done>
-    admissible(model::job_request const& request) const;
+    check_admission(model::job_request const& request) const;
 
     /// Takes a job that was accepted earlier, without checking it again.
     void restore(std::string const& id,
@@ -100,29 +100,31 @@
 
     /// The group's owner holds the attempt (mode `hold`). Released when it is
     /// not wanted any more.
-    queue_actions held(model::attempt_id const& attempt,
-                       std::string const& group,
-                       base::instant now);
-    /// The attempt was started. Released when it is not wanted any more.
-    queue_actions started(model::attempt_id const& attempt,
+    queue_actions on_held(model::attempt_id const& attempt,
                           std::string const& group,
                           base::instant now);
+    /// The attempt was started. Released when it is not wanted any more.
+    queue_actions on_started(model::attempt_id const& attempt,
+                             std::string const& group,
+                             base::instant now);
     /// The owner refused a hold, or a commit came too late. Nothing runs.
-    queue_actions refused(model::attempt_id const& attempt,
-                          hold_state why,
-                          base::instant now);
+    queue_actions on_refused(model::attempt_id const& attempt,
+                             hold_state why,
+                             base::instant now);
     /// No answer came: the same order again, since it may have been taken.
-    queue_actions unanswered(model::attempt_id const& attempt);
-    queue_actions finished(attempt_end const& it, base::instant now);
+    queue_actions on_unanswered(model::attempt_id const& attempt);
+    queue_actions on_finished(attempt_end const& it, base::instant now);
     /// A running attempt's measured use.
-    void used(model::attempt_id const& attempt, model::resources const& use);
+    void on_usage(model::attempt_id const& attempt,
+                  model::resources const& use);
 
     /// When `decide` next has something to do without another event; `max` for
     /// never.
-    [[nodiscard]] base::instant next_wake() const;
+    [[nodiscard]] base::instant next_wakeup() const;
 
-    [[nodiscard]] std::optional<job_view> view_of(std::string const& job) const;
-    [[nodiscard]] std::size_t jobs() const noexcept
+    [[nodiscard]] std::optional<job_status>
+    status_of(std::string const& job) const;
+    [[nodiscard]] std::size_t job_count() const noexcept
     {
         return m_jobs.size();
     }
@@ -130,7 +132,7 @@
     {
         return m_waiting_tasks;
     }
-    [[nodiscard]] model::resources used_by(std::string const& contract) const;
+    [[nodiscard]] model::resources usage_of(std::string const& contract) const;
 
 private:
     using job_pointer = std::shared_ptr<job_record>;
--- a/libraries/placement/job_queue_decide.cpp
+++ b/libraries/placement/job_queue_decide.cpp
@@ -32,7 +32,7 @@
     m_wakes.push({at, ++m_wake_order, job, task});
 }
 
-base::instant job_queue::next_wake() const
+base::instant job_queue::next_wakeup() const
 {
     return m_wakes.empty() ? base::instant::max() : m_wakes.top().at;
 }
--- a/libraries/placement/job_queue_events.cpp
+++ b/libraries/placement/job_queue_events.cpp
@@ -63,9 +63,9 @@
     account_of(job).refund(it);
 }
 
-queue_actions job_queue::held(model::attempt_id const& attempt,
-                              std::string const& group,
-                              base::instant now)
+queue_actions job_queue::on_held(model::attempt_id const& attempt,
+                                 std::string const& group,
+                                 base::instant now)
 {
     auto const job = find(attempt.task.job);
     auto* const it = current(job, attempt);
@@ -91,9 +91,9 @@
     return actions;
 }
 
-queue_actions job_queue::started(model::attempt_id const& attempt,
-                                 std::string const& group,
-                                 base::instant now)
+queue_actions job_queue::on_started(model::attempt_id const& attempt,
+                                    std::string const& group,
+                                    base::instant now)
 {
     auto const job = find(attempt.task.job);
     auto* const it = current(job, attempt);
@@ -119,9 +119,9 @@
     return {};
 }
 
-queue_actions job_queue::refused(model::attempt_id const& attempt,
-                                 hold_state why,
-                                 base::instant now)
+queue_actions job_queue::on_refused(model::attempt_id const& attempt,
+                                    hold_state why,
+                                    base::instant now)
 {
     auto const job = find(attempt.task.job);
     auto* const it = current(job, attempt);
@@ -160,7 +160,7 @@
     return {};
 }
 
-queue_actions job_queue::unanswered(model::attempt_id const& attempt)
+queue_actions job_queue::on_unanswered(model::attempt_id const& attempt)
 {
     auto const job = find(attempt.task.job);
     auto* const it = current(job, attempt);
@@ -184,8 +184,8 @@
     return actions;
 }
 
-void job_queue::used(model::attempt_id const& attempt,
-                     model::resources const& use)
+void job_queue::on_usage(model::attempt_id const& attempt,
+                         model::resources const& use)
 {
     auto const job = find(attempt.task.job);
     if (current(job, attempt) != nullptr)
@@ -194,7 +194,7 @@
     }
 }
 
-queue_actions job_queue::finished(attempt_end const& end, base::instant now)
+queue_actions job_queue::on_finished(attempt_end const& end, base::instant now)
 {
     auto const job = find(end.attempt.task.job);
     auto* const it = current(job, end.attempt);
--- a/libraries/scheduler/job.cpp
+++ b/libraries/scheduler/job.cpp
@@ -35,7 +35,7 @@
         for (std::size_t n = 0; n < steps.size(); ++n)
         {
             out[n] = std::max(out[n], times[n]);
-            for (auto const before : steps[n].after)
+            for (auto const before : steps[n].depends_on)
             {
                 out[before] = std::max(out[before], times[before] + out[n]);
             }
@@ -104,16 +104,17 @@
 step* job::find(workload::step_name const& it)
 {
     auto const at = occurrences.find(it.occurrence);
-    if (at == occurrences.end() || it.step >= at->second.steps.size())
+    if (at == occurrences.end() || it.step_index >= at->second.steps.size())
     {
         return nullptr;
     }
-    return &at->second.steps[it.step];
+    return &at->second.steps[it.step_index];
 }
 
 bool job::ready(occurrence const& in, std::uint32_t number) const
 {
-    return std::ranges::all_of(m_spec.steps[number].after, [&](std::uint32_t it)
+    return std::ranges::all_of(m_spec.steps[number].depends_on,
+                               [&](std::uint32_t it)
                                { return in.steps[it].complete(); });
 }
 
@@ -142,7 +143,7 @@
                     leftovers.push_back(
                         {{{{m_spec.id, number, s}, n}, tasks[n].run},
                          tasks[n].instance,
-                         spec.counted_need(),
+                         spec.reserved_need(),
                          spec.need});
                 }
             }
--- a/libraries/scheduler/job.hpp
+++ b/libraries/scheduler/job.hpp
@@ -170,7 +170,7 @@
     [[nodiscard]] workload::step_spec const&
     spec_of(workload::step_name const& it) const
     {
-        return m_spec.steps[it.step];
+        return m_spec.steps[it.step_index];
     }
 
     /// All steps it waits for are complete.
--- a/libraries/scheduler/placement.cpp
+++ b/libraries/scheduler/placement.cpp
@@ -38,8 +38,9 @@
     // elsewhere a task takes several times as long.
     constexpr double beside_penalty = 5;
     constexpr double far_penalty = 10;
-    auto const far = !step.near_rack.empty() && it.rack != step.near_rack;
-    auto const roomiest = step.fills || by == fit::apart;
+    auto const far =
+        !step.preferred_rack.empty() && it.rack != step.preferred_rack;
+    auto const roomiest = step.uses_spare_cpu || by == fit::apart;
     return (roomiest ? roomiest_score(it) : left_over(it, step.need)) +
            (it.suspects_here > 0 ? beside_penalty : 0) +
            (far ? far_penalty : 0);
@@ -47,9 +48,9 @@
 
 bool has_place(workload::step_spec const& step, candidate const& it)
 {
-    return workload::fits(step.counted_need(), it.room) &&
-           (step.most_per_instance == 0 ||
-            it.tasks_here < step.most_per_instance);
+    return workload::fits(step.reserved_need(), it.room) &&
+           (step.max_per_instance == 0 ||
+            it.tasks_here < step.max_per_instance);
 }
 
 std::optional<std::size_t> best_of(workload::step_spec const& step,
@@ -101,7 +102,7 @@
                        workload::resources const& room,
                        std::uint32_t tasks_here)
 {
-    auto const need = step.counted_need();
+    auto const need = step.reserved_need();
     auto out = step.tasks;
     auto const bound = [&](std::int64_t part, std::int64_t whole)
     {
@@ -114,9 +115,9 @@
     bound(need.cpu_millis, room.cpu_millis);
     bound(need.memory_mb, room.memory_mb);
     bound(need.gpus, room.gpus);
-    if (step.most_per_instance != 0)
+    if (step.max_per_instance != 0)
     {
-        auto const most = step.most_per_instance;
+        auto const most = step.max_per_instance;
         out = std::min(out, most - std::min(most, tasks_here));
     }
     return out;
@@ -136,7 +137,7 @@
             break;
         }
         out.push_back(*best);
-        from[*best].room -= step.counted_need();
+        from[*best].room -= step.reserved_need();
         ++from[*best].tasks_here;
     }
     return out;
--- a/libraries/scheduler/record.cpp
+++ b/libraries/scheduler/record.cpp
@@ -52,20 +52,21 @@
     out.add("g", it.need.gpus);
     out.add("e", it.estimate_ms);
     out.add("im", it.image);
-    out.add("rq", it.requirement);
-    out.add("nr", it.near_rack);
-    out.add("mp", it.most_per_instance);
-    out.add("mm", it.may_miss);
-    out.add("t", it.target_ms);
-    out.add("cp", std::int64_t{it.checkpoints});
+    out.add("rq", it.required_label);
+    out.add("nr", it.preferred_rack);
+    out.add("mp", it.max_per_instance);
+    out.add("mm", it.max_unavailable);
+    out.add("t", it.response_time_target_ms);
+    out.add("cp", std::int64_t{it.can_checkpoint});
     out.add("ga", std::int64_t{it.gang});
     out.add("sr", std::int64_t{it.same_rack});
     out.add("co", std::int64_t{it.copies_allowed});
-    out.add("l", std::int64_t{it.lasting});
-    out.add("f", std::int64_t{it.fills});
-    if (!it.after.empty())
+    out.add("l", std::int64_t{it.long_running});
+    out.add("f", std::int64_t{it.uses_spare_cpu});
+    if (!it.depends_on.empty())
     {
-        out.object()["a"] = json::array(it.after.begin(), it.after.end());
+        out.object()["a"] =
+            json::array(it.depends_on.begin(), it.depends_on.end());
     }
     return std::move(out.object());
 }
@@ -83,20 +84,20 @@
                 json_codec::number_or(it, "g")};
     out.estimate_ms = json_codec::number_or(it, "e");
     out.image = json_codec::text_or(it, "im");
-    out.requirement = json_codec::text_or(it, "rq");
-    out.near_rack = json_codec::text_or(it, "nr");
-    out.most_per_instance = small(it, "mp");
-    out.may_miss = small(it, "mm");
-    out.target_ms = json_codec::number_or(it, "t");
-    out.checkpoints = small(it, "cp") != 0;
+    out.required_label = json_codec::text_or(it, "rq");
+    out.preferred_rack = json_codec::text_or(it, "nr");
+    out.max_per_instance = small(it, "mp");
+    out.max_unavailable = small(it, "mm");
+    out.response_time_target_ms = json_codec::number_or(it, "t");
+    out.can_checkpoint = small(it, "cp") != 0;
     out.gang = small(it, "ga") != 0;
     out.same_rack = small(it, "sr") != 0;
     out.copies_allowed = small(it, "co") != 0;
-    out.lasting = small(it, "l") != 0;
-    out.fills = small(it, "f") != 0;
+    out.long_running = small(it, "l") != 0;
+    out.uses_spare_cpu = small(it, "f") != 0;
     for (auto const& before : json_codec::array_or_empty(it, "a"))
     {
-        out.after.push_back(
+        out.depends_on.push_back(
             static_cast<std::uint32_t>(json_codec::as_number(before)));
     }
     return out;
--- a/libraries/scheduler/scheduler.cpp
+++ b/libraries/scheduler/scheduler.cpp
@@ -51,7 +51,7 @@
 {
     auto const& spec = of.spec_of(name);
     attempt out;
-    out.need = spec.counted_need();
+    out.need = spec.reserved_need();
     out.of_cap = spec.need;
     out.account = of.spec().account;
     return out;
@@ -125,7 +125,7 @@
     std::erase_if(m_open.starts,
                   [&](start_order const& entry)
                   {
-                      if (entry.attempt.task.of.job != it)
+                      if (entry.attempt.task.step.job != it)
                       {
                           return false;
                       }
--- a/libraries/scheduler/scheduler_decide.cpp
+++ b/libraries/scheduler/scheduler_decide.cpp
@@ -179,8 +179,8 @@
                          base::instant now) const
 {
     return it.usable(now) && it.info().service == queue.service &&
-           (spec.requirement.empty() || it.has_label(spec.requirement)) &&
-           workload::fits(spec.counted_need(), it.info().capacity);
+           (spec.required_label.empty() || it.has_label(spec.required_label)) &&
+           workload::fits(spec.reserved_need(), it.info().capacity);
 }
 
 candidate scheduler::candidate_of(instance const& it,
@@ -188,8 +188,7 @@
                                   workload::step_spec const& spec,
                                   fit by) const
 {
-    auto const here =
-        spec.most_per_instance == 0 ? 0 : tasks_on(name, spec, it);
+    auto const here = spec.max_per_instance == 0 ? 0 : tasks_on(name, spec, it);
     auto const suspects = by == fit::apart ? it.suspects_beside(name.job) : 0;
     return {it.info().id,       it.rack(), it.room(),
             it.info().capacity, here,      suspects};
@@ -261,7 +260,7 @@
     auto const& all = at.attempts();
     std::uint32_t n = 0;
     auto it = all.lower_bound(attempt_name{{of, 0}, 0});
-    for (; it != all.end() && it->first.task.of == of && n < spec.tasks; ++it)
+    for (; it != all.end() && it->first.task.step == of && n < spec.tasks; ++it)
     {
         ++n;
     }
@@ -359,14 +358,14 @@
                       std::uint32_t run,
                       base::instant now)
 {
-    auto& in = *of.find(name.of);
+    auto& in = *of.find(name.step);
     auto& it = in.tasks[name.index];
     it.phase = task_phase::placed;
     it.run = run;
     it.instance = on;
     --in.waiting;
     auto& where = m_instances.get(on);
-    auto made = attempt_of(of, name.of);
+    auto made = attempt_of(of, name.step);
     made.checkpoint = it.checkpoint;
     made.suspect = it.lost.suspect();
     made.began_at = now;
--- a/libraries/scheduler/scheduler_ends.cpp
+++ b/libraries/scheduler/scheduler_ends.cpp
@@ -44,9 +44,9 @@
                               attempt const& it,
                               base::instant now)
 {
-    auto const& spec = of.spec_of(name.task.of);
+    auto const& spec = of.spec_of(name.task.step);
     if (name.task.index == 0 && it.state == attempt_state::running &&
-        it.checkpoint.empty() && !spec.lasting)
+        it.checkpoint.empty() && !spec.long_running)
     {
         m_run_times.ended(of.spec().queue,
                           std::chrono::milliseconds{spec.estimate_ms},
@@ -70,8 +70,8 @@
         report_lost(at, name, *was, reason);
     }
     at.remove(name);
-    auto* const of = m_jobs.find(name.task.of.job);
-    auto* const in = of == nullptr ? nullptr : of->find(name.task.of);
+    auto* const of = m_jobs.find(name.task.step.job);
+    auto* const in = of == nullptr ? nullptr : of->find(name.task.step);
     if (in == nullptr || name.task.index >= in->tasks.size())
     {
         return;
@@ -97,12 +97,12 @@
         auto const began = was->state == attempt_state::running;
         it.lost = it.lost.after({reason, began, was->seen_work()}, m_rules);
     }
-    auto const& spec = of->spec_of(name.task.of);
-    if (!saved.empty() && spec.checkpoints)
+    auto const& spec = of->spec_of(name.task.step);
+    if (!saved.empty() && spec.can_checkpoint)
     {
         it.checkpoint = saved;
     }
-    if (reason == end_reason::done && !spec.lasting)
+    if (reason == end_reason::done && !spec.long_running)
     {
         ++m_counts.ends_done;
         if (spec.gang)
@@ -135,7 +135,7 @@
     }
     if (spec.gang && !in->complete())
     {
-        stop_gang(name.task.of, *in, now);
+        stop_gang(name.task.step, *in, now);
     }
     after_change(*of, now);
 }
@@ -179,9 +179,9 @@
 void scheduler::task_failed(
     job& of, attempt_name const& name, step& in, task& it, base::instant now)
 {
-    auto const& spec = of.spec_of(name.task.of);
+    auto const& spec = of.spec_of(name.task.step);
     task_waits(in, it);
-    if (spec.lasting)
+    if (spec.long_running)
     {
         return;
     }
@@ -285,7 +285,7 @@
     {
         auto& all = at->attempts();
         auto it = all.lower_bound(attempt_name{{{of, 0, 0}, 0}, 0});
-        for (; it != all.end() && it->first.task.of.job == of; ++it)
+        for (; it != all.end() && it->first.task.step.job == of; ++it)
         {
             if (!it->second.stop_wanted)
             {
@@ -349,7 +349,7 @@
 std::uint32_t scheduler::attempts_allowed(job const& of) const
 {
     auto const* const queue = queue_of(of);
-    return queue == nullptr ? 1 : std::max(1U, queue->attempts);
+    return queue == nullptr ? 1 : std::max(1U, queue->max_attempts);
 }
 
 } // namespace berylhill::scheduler
--- a/libraries/scheduler/scheduler_gang_plan.cpp
+++ b/libraries/scheduler/scheduler_gang_plan.cpp
@@ -170,14 +170,14 @@
     out.room = at.room();
     for (auto const& [name, it] : at.attempts())
     {
-        auto const* const of = m_jobs.find(name.task.of.job);
+        auto const* const of = m_jobs.find(name.task.step.job);
         if (it.stop_wanted || of == nullptr || finished(of->phase))
         {
             out.ends.emplace_back(now + m_rules.stop_takes, it.need);
             continue;
         }
-        auto const& spec = of->spec_of(name.task.of);
-        if (spec.lasting)
+        auto const& spec = of->spec_of(name.task.step);
+        if (spec.long_running)
         {
             continue;
         }
--- a/libraries/scheduler/scheduler_leave.cpp
+++ b/libraries/scheduler/scheduler_leave.cpp
@@ -48,10 +48,10 @@
                              base::duration stays,
                              base::instant now) const
 {
-    if (spec.checkpoints || spec.lasting)
+    if (spec.can_checkpoint || spec.long_running)
     {
         return stays < m_rules.leave_before &&
-               (spec.lasting ||
+               (spec.long_running ||
                 time_left(it, of, spec, now) + end_slack > stays);
     }
     // It begins anew elsewhere, so the sooner the better, but only where it
@@ -76,13 +76,13 @@
         auto const stays = *at->leaves_at() - now;
         for (auto& [name, it] : at->attempts())
         {
-            auto* const of = m_jobs.find(name.task.of.job);
+            auto* const of = m_jobs.find(name.task.step.job);
             if (of == nullptr || finished(of->phase) || it.stop_wanted ||
                 it.state != attempt_state::running)
             {
                 continue;
             }
-            if (!should_leave(it, *of, of->spec_of(name.task.of), stays, now))
+            if (!should_leave(it, *of, of->spec_of(name.task.step), stays, now))
             {
                 continue;
             }
--- a/libraries/scheduler/scheduler_orders.cpp
+++ b/libraries/scheduler/scheduler_orders.cpp
@@ -49,7 +49,7 @@
         {
             it->next_try.reset();
         }
-        note_begun(name.task.of.job);
+        note_begun(name.task.step.job);
         return;
     case start_answer::outdated:
         it->settled_at = now;
@@ -67,9 +67,9 @@
         it->unanswered = true;
         return;
     case start_answer::no_ticket:
-        if (auto* const job = m_jobs.find(name.task.of.job); job != nullptr)
+        if (auto* const job = m_jobs.find(name.task.step.job); job != nullptr)
         {
-            if (auto* const in = job->find(name.task.of); in != nullptr)
+            if (auto* const in = job->find(name.task.step); in != nullptr)
             {
                 in->advice.allowed.erase(at->number());
             }
@@ -251,7 +251,7 @@
         want_stop(at, name, it, now);
         return;
     }
-    auto const* const job = m_jobs.find(name.task.of.job);
+    auto const* const job = m_jobs.find(name.task.step.job);
     if (job == nullptr)
     {
         return;
--- a/libraries/scheduler/scheduler_preempt.cpp
+++ b/libraries/scheduler/scheduler_preempt.cpp
@@ -13,19 +13,19 @@
                          std::int32_t than,
                          base::instant now)
 {
-    auto const* const of = m_jobs.find(name.task.of.job);
+    auto const* const of = m_jobs.find(name.task.step.job);
     if (of == nullptr || finished(of->phase))
     {
         return false;
     }
     auto const* const queue = queue_of(*of);
-    auto const& spec = of->spec_of(name.task.of);
-    if (queue == nullptr || queue->priority <= than || !spec.checkpoints ||
-        spec.gang || spec.lasting)
+    auto const& spec = of->spec_of(name.task.step);
+    if (queue == nullptr || queue->priority <= than || !spec.can_checkpoint ||
+        spec.gang || spec.long_running)
     {
         return false;
     }
-    auto const until = timing_of(*of, name.task.of, *queue);
+    auto const until = timing_of(*of, name.task.step, *queue);
     return until.latest_start - now > m_rules.preempt_slack;
 }
 
--- a/libraries/scheduler/scheduler_reports.cpp
+++ b/libraries/scheduler/scheduler_reports.cpp
@@ -48,12 +48,12 @@
                          {{"task", text_of(row.attempt.task)},
                           {"run", row.attempt.run},
                           {"instance", it.instance}});
-            auto* const job = m_jobs.find(row.attempt.task.of.job);
+            auto* const job = m_jobs.find(row.attempt.task.step.job);
             auto const known_need =
                 job != nullptr &&
-                row.attempt.task.of.step < job->spec().steps.size();
-            auto stray =
-                known_need ? attempt_of(*job, row.attempt.task.of) : attempt{};
+                row.attempt.task.step.step_index < job->spec().steps.size();
+            auto stray = known_need ? attempt_of(*job, row.attempt.task.step)
+                                    : attempt{};
             stray.need_known = known_need;
             stray.state = attempt_state::running;
             stray.settled_at = it.sent_at;
@@ -71,7 +71,7 @@
             {
                 known->next_try.reset();
             }
-            note_begun(row.attempt.task.of.job);
+            note_begun(row.attempt.task.step.job);
         }
         known->seen_at = it.read_at;
         if (row.percent > known->percent)
--- a/libraries/scheduler/state_record.cpp
+++ b/libraries/scheduler/state_record.cpp
@@ -141,9 +141,9 @@
 json::array leftover_row(leftover const& it)
 {
     auto const& task = it.attempt.task;
-    return {task.of.occurrence, task.of.step, task.index,
-            it.attempt.run,     it.instance,  it.need.cpu_millis,
-            it.need.memory_mb,  it.need.gpus, it.of_cap.cpu_millis};
+    return {task.step.occurrence, task.step.step_index, task.index,
+            it.attempt.run,       it.instance,          it.need.cpu_millis,
+            it.need.memory_mb,    it.need.gpus,         it.of_cap.cpu_millis};
 }
 
 base::result<leftover> leftover_in(workload::job_id id, json::value const& row)
--- a/libraries/scheduler/timing.cpp
+++ b/libraries/scheduler/timing.cpp
@@ -23,7 +23,7 @@
     auto const objective =
         base::duration{static_cast<std::int64_t>(queue.stretch * work)} +
         queue.target_latency;
-    auto const rest = of.chain_from(name.step);
+    auto const rest = of.chain_from(name.step_index);
     return {begin + objective - rest,
             begin + worthless_after * objective - rest};
 }
--- a/libraries/workload/account_table.cpp
+++ b/libraries/workload/account_table.cpp
@@ -40,7 +40,7 @@
     }
 }
 
-account_spec const* account_table::owner_of(std::string const& key) const
+account_spec const* account_table::find_by_key(std::string const& key) const
 {
     auto const at = m_by_key.find(key);
     return at == m_by_key.end() ? nullptr : &m_accounts[at->second];
--- a/libraries/workload/account_table.hpp
+++ b/libraries/workload/account_table.hpp
@@ -27,7 +27,7 @@
 
     /// The account whose key it is; null where it is nobody's. Valid as long
     /// as the table.
-    [[nodiscard]] account_spec const* owner_of(std::string const& key) const;
+    [[nodiscard]] account_spec const* find_by_key(std::string const& key) const;
 
     friend bool operator==(account_table const&,
                            account_table const&) = default;
--- a/libraries/workload/cell_configuration.cpp
+++ b/libraries/workload/cell_configuration.cpp
@@ -3,8 +3,8 @@
 namespace berylhill::workload
 {
 
-queue_spec const* cell_configuration::queue_of(std::string_view host,
-                                               std::string_view path) const
+queue_spec const* cell_configuration::match_queue(std::string_view host,
+                                                  std::string_view path) const
 {
     queue_spec const* best = nullptr;
     for (auto const& it : queues)
@@ -21,7 +21,7 @@
     return best;
 }
 
-queue_spec const* cell_configuration::queue_named(std::string_view name) const
+queue_spec const* cell_configuration::find_queue(std::string_view name) const
 {
     for (auto const& it : queues)
     {
@@ -34,7 +34,7 @@
 }
 
 service_spec const*
-cell_configuration::service_named(std::string_view name) const
+cell_configuration::find_service(std::string_view name) const
 {
     for (auto const& it : services)
     {
--- a/libraries/workload/cell_configuration.hpp
+++ b/libraries/workload/cell_configuration.hpp
@@ -27,13 +27,12 @@
 
     /// The queue of the longest prefix of `path` at this host; null where
     /// there is none. Valid as long as the configuration.
-    [[nodiscard]] queue_spec const* queue_of(std::string_view host,
-                                             std::string_view path) const;
+    [[nodiscard]] queue_spec const* match_queue(std::string_view host,
+                                                std::string_view path) const;
 
-    [[nodiscard]] queue_spec const* queue_named(std::string_view name) const;
+    [[nodiscard]] queue_spec const* find_queue(std::string_view name) const;
 
-    [[nodiscard]] service_spec const*
-    service_named(std::string_view name) const;
+    [[nodiscard]] service_spec const* find_service(std::string_view name) const;
 };
 
 } // namespace berylhill::workload
--- a/libraries/workload/queue_spec.hpp
+++ b/libraries/workload/queue_spec.hpp
@@ -42,7 +42,7 @@
     /// 0 comes first.
     std::int32_t priority{0};
     /// A task that ended `failed` so often fails its job.
-    std::uint32_t attempts{1};
+    std::uint32_t max_attempts{1};
     /// A job's objective is this many times its longest chain of work.
     double stretch{1};
     std::optional<advice_spec> advice;
@@ -57,7 +57,7 @@
     std::string name;
     std::uint32_t connections_per_instance{0};
     /// Its instances refuse what does not fit.
-    bool guards_capacity{false};
+    bool enforces_capacity{false};
     /// Its machines are off.
     bool standby{false};
 
@@ -69,8 +69,8 @@
 {
     std::size_t header_bytes{16'384};
     std::size_t body_bytes{262'144};
-    base::duration header_time{std::chrono::seconds{3}};
-    base::duration idle_time{std::chrono::seconds{15}};
+    base::duration header_timeout{std::chrono::seconds{3}};
+    base::duration idle_timeout{std::chrono::seconds{15}};
 
     friend bool operator==(request_limits const&,
                            request_limits const&) = default;
--- a/libraries/workload/task_name.cpp
+++ b/libraries/workload/task_name.cpp
@@ -22,12 +22,12 @@
 std::string text_of(step_name const& it)
 {
     return text_of(it.job) + "." + std::to_string(it.occurrence) + "." +
-           std::to_string(it.step);
+           std::to_string(it.step_index);
 }
 
 std::string text_of(task_name const& it)
 {
-    return text_of(it.of) + "." + std::to_string(it.index);
+    return text_of(it.step) + "." + std::to_string(it.index);
 }
 
 base::result<task_name> parse_task_name(std::string_view text)
--- a/libraries/workload/task_name.hpp
+++ b/libraries/workload/task_name.hpp
@@ -17,7 +17,7 @@
     job_id job;
     /// 0 for a job that does not repeat.
     std::uint32_t occurrence{0};
-    std::uint32_t step{0};
+    std::uint32_t step_index{0};
 
     friend auto operator<=>(step_name const&, step_name const&) = default;
 };
@@ -25,7 +25,7 @@
 /// One task of a step. A value.
 struct task_name
 {
-    step_name of;
+    step_name step;
     std::uint32_t index{0};
 
     friend auto operator<=>(task_name const&, task_name const&) = default;
--- a/libraries/workload/validation.cpp
+++ b/libraries/workload/validation.cpp
@@ -34,7 +34,7 @@
     {
         wrong("/estimate", "below 0");
     }
-    for (auto const before : it.after)
+    for (auto const before : it.depends_on)
     {
         if (before >= steps)
         {
@@ -55,7 +55,7 @@
         for (std::size_t n = 0; n < steps.size(); ++n)
         {
             if (!taken[n] &&
-                std::ranges::all_of(steps[n].after, [&](std::uint32_t it)
+                std::ranges::all_of(steps[n].depends_on, [&](std::uint32_t it)
                                     { return taken[it]; }))
             {
                 taken[n] = true;
--- a/tests/cell/advice_desk_test.cpp
+++ b/tests/cell/advice_desk_test.cpp
@@ -21,7 +21,7 @@
              base::duration,
              cell::advice_handler handler) override
     {
-        open.emplace_back(step.step, std::move(handler));
+        open.emplace_back(step.step_index, std::move(handler));
     }
 
     /// Answers the oldest question; returns the number of its step.
@@ -41,7 +41,7 @@
     void ask(std::uint32_t step, std::chrono::milliseconds expected)
     {
         scheduler::advice_order order;
-        order.step.step = step;
+        order.step.step_index = step;
         order.expected = expected;
         desk.ask(order, [this, step](auto const&) { done.push_back(step); });
     }
--- a/tests/placement/fake_cell.cpp
+++ b/tests/placement/fake_cell.cpp
@@ -46,7 +46,7 @@
 {
     for (auto& [name, ledger] : ledgers)
     {
-        ledger.expire(now);
+        ledger.expire_holds(now);
     }
     for (std::size_t n = 0; n < queues.size(); ++n)
     {
@@ -79,9 +79,9 @@
         ledgers.at(it.group).release(it.attempt, now);
         if (running.erase(it.attempt) > 0)
         {
-            ledgers.at(it.group).finished(it.attempt, model::task_end::stopped,
-                                          now);
-            next.append(queues[queue].finished(
+            ledgers.at(it.group).on_finished(it.attempt,
+                                             model::task_end::stopped, now);
+            next.append(queues[queue].on_finished(
                 {it.attempt, model::task_end::stopped, {}, {}, 0, {}}, now));
         }
     }
@@ -118,7 +118,7 @@
     if (found.answer.state != placement::hold_state::held)
     {
         refusals += 1;
-        next.append(queues[queue].refused(attempt, found.answer.state, now));
+        next.append(queues[queue].on_refused(attempt, found.answer.state, now));
     }
     else if (order.mode == placement::hold_mode::start)
     {
@@ -126,7 +126,7 @@
     }
     else
     {
-        next.append(queues[queue].held(attempt, order.group, now));
+        next.append(queues[queue].on_held(attempt, order.group, now));
     }
 }
 
@@ -138,8 +138,8 @@
     auto const order = ledgers.at(group).commit(attempt, now);
     if (!order)
     {
-        next.append(
-            queues[queue].refused(attempt, placement::hold_state::full, now));
+        next.append(queues[queue].on_refused(attempt,
+                                             placement::hold_state::full, now));
         return;
     }
     running[attempt] = group;
@@ -147,7 +147,7 @@
     auto const known = true_peaks.find(order->start.name);
     peaks[attempt] =
         known == true_peaks.end() ? order->start.planned : known->second;
-    next.append(queues[queue].started(attempt, group, now));
+    next.append(queues[queue].on_started(attempt, group, now));
     if (on_start)
     {
         on_start(*order);
@@ -164,11 +164,11 @@
     }
     auto& ledger = ledgers.at(it->second);
     auto const worker = ledger.worker_of(attempt);
-    ledger.finished(attempt, how, now);
+    ledger.on_finished(attempt, how, now);
     running.erase(it);
     auto const queue = owner.at(attempt);
     carry_out(queue,
-              queues[queue].finished(
+              queues[queue].on_finished(
                   {attempt, how, worker, peaks.at(attempt), 10, {}}, now));
 }
 
@@ -176,7 +176,7 @@
 {
     for (auto const& [name, ledger] : ledgers)
     {
-        for (auto const& it : ledger.accounts())
+        for (auto const& it : ledger.worker_summaries())
         {
             if (!it.charged.fits_in(it.capacity))
             {
--- a/tests/placement/gang_test.cpp
+++ b/tests/placement/gang_test.cpp
@@ -73,8 +73,8 @@
     auto const second = cell.running.rbegin()->first;
     auto& ledger = cell.ledgers.at("rack-a");
     // The stop is on its way while the second task ends.
-    ledger.finished(first, model::task_end::checkpointed, cell.now);
-    auto const actions = cell.queue().finished(
+    ledger.on_finished(first, model::task_end::checkpointed, cell.now);
+    auto const actions = cell.queue().on_finished(
         {first, model::task_end::checkpointed, "w", {}, 1, {}}, cell.now);
     BOOST_TEST(actions.releases.size() == 1U);
     cell.running.erase(first);
--- a/tests/placement/invariant_test.cpp
+++ b/tests/placement/invariant_test.cpp
@@ -80,8 +80,8 @@
         for (auto& it : m_cell.queues)
         {
             BOOST_TEST(it.waiting_tasks() == 0);
-            BOOST_CHECK(it.used_by("kitakaze").empty());
-            BOOST_CHECK(it.used_by("cantabrica").empty());
+            BOOST_CHECK(it.usage_of("kitakaze").empty());
+            BOOST_CHECK(it.usage_of("cantabrica").empty());
         }
     }
 
@@ -99,7 +99,7 @@
 
     [[nodiscard]] std::size_t left()
     {
-        return m_cell.queue(0).jobs() + m_cell.queue(1).jobs();
+        return m_cell.queue(0).job_count() + m_cell.queue(1).job_count();
     }
 
     void act()
@@ -183,7 +183,7 @@
         }
         for (std::size_t n = 0; n < 2; ++n)
         {
-            auto const used = m_cell.queue(n).used_by("cantabrica");
+            auto const used = m_cell.queue(n).usage_of("cantabrica");
             BOOST_REQUIRE(used.fits_in({40'000, 200'000, 0}));
         }
     }
--- a/tests/placement/ledger_test.cpp
+++ b/tests/placement/ledger_test.cpp
@@ -117,7 +117,7 @@
     BOOST_CHECK(ledger.hold(next, at(3), at(1)).answer.state ==
                 hold_state::full);
     BOOST_CHECK(!ledger.commit(lost.attempt, at(2)).has_value());
-    BOOST_CHECK(ledger.expire(at(2)).empty());
+    BOOST_CHECK(ledger.expire_holds(at(2)).empty());
     BOOST_TEST(start(ledger, next, at(2)) == "w-0");
 }
 
@@ -132,7 +132,7 @@
     BOOST_CHECK(again.state == hold_state::repeated);
     BOOST_TEST(again.worker == "w-0");
     BOOST_CHECK(!ledger.commit(it.attempt, at(1)).has_value());
-    BOOST_TEST(ledger.accounts().front().planned.millicores == 3'000);
+    BOOST_TEST(ledger.worker_summaries().front().planned.millicores == 3'000);
 }
 
 // A task is told to stop, and the worker takes a while. Its room is not free
@@ -148,7 +148,7 @@
     BOOST_CHECK(actions.front().kind == ledger_action_kind::stop);
     BOOST_CHECK(ledger.hold(next, at(3), at(1)).answer.state ==
                 hold_state::full);
-    ledger.finished(first.attempt, model::task_end::stopped, at(2));
+    ledger.on_finished(first.attempt, model::task_end::stopped, at(2));
     BOOST_TEST(start(ledger, next, at(2)) == "w-0");
 }
 
@@ -184,10 +184,10 @@
     urgent.urgent = model::urgency::urgent;
     start(ledger, urgent, at(0));
     start(ledger, grows, at(1));
-    auto const first = ledger.observe("w-0",
-                                      {running_of(grows, {1'500, 6'500, 0}),
-                                       running_of(urgent, {1'000, 1'024, 0})},
-                                      at(3));
+    auto const first = ledger.on_report("w-0",
+                                        {running_of(grows, {1'500, 6'500, 0}),
+                                         running_of(urgent, {1'000, 1'024, 0})},
+                                        at(3));
     BOOST_REQUIRE(first.size() == 1U);
     BOOST_CHECK(first.front().kind == ledger_action_kind::throttle);
     BOOST_CHECK(first.front().attempt == grows.attempt);
@@ -195,10 +195,11 @@
     BOOST_CHECK(
         ledger.hold(hold_of("next", "daily", {1'000, 1'024, 0}), at(6), at(4))
             .answer.state == hold_state::full);
-    auto const second = ledger.observe("w-0",
-                                       {running_of(grows, {700, 6'900, 0}),
-                                        running_of(urgent, {1'000, 1'024, 0})},
-                                       at(5));
+    auto const second =
+        ledger.on_report("w-0",
+                         {running_of(grows, {700, 6'900, 0}),
+                          running_of(urgent, {1'000, 1'024, 0})},
+                         at(5));
     BOOST_REQUIRE(second.size() == 1U);
     BOOST_CHECK(second.front().kind == ledger_action_kind::checkpoint);
     BOOST_CHECK(second.front().attempt == grows.attempt);
@@ -211,9 +212,9 @@
     auto ledger = ledger_with(1);
     auto const it = hold_of("job", "daily", {4'000, 1'024, 0});
     start(ledger, it, at(0));
-    BOOST_CHECK(ledger.observe("w-0", {}, at(1)).empty());
-    ledger.observe("w-0", {running_of(it, {1, 1, 0})}, at(2));
-    auto const actions = ledger.observe("w-0", {}, at(3));
+    BOOST_CHECK(ledger.on_report("w-0", {}, at(1)).empty());
+    ledger.on_report("w-0", {running_of(it, {1, 1, 0})}, at(2));
+    auto const actions = ledger.on_report("w-0", {}, at(3));
     BOOST_REQUIRE(actions.size() == 1U);
     BOOST_CHECK(actions.front().kind == ledger_action_kind::lost);
     BOOST_TEST(ledger.digest().free.millicores == 4'000);
@@ -249,22 +250,23 @@
         BOOST_REQUIRE(!worker.empty());
         auto const bad = worker == "w-0";
         on_bad += bad ? 1 : 0;
-        ledger.finished(it.attempt,
-                        bad ? model::task_end::failed
-                            : model::task_end::succeeded,
-                        at(now));
+        ledger.on_finished(it.attempt,
+                           bad ? model::task_end::failed
+                               : model::task_end::succeeded,
+                           at(now));
     }
     BOOST_TEST(on_bad > 2);
     BOOST_TEST(on_bad < 20);
-    BOOST_CHECK(ledger.accounts().front().state ==
+    BOOST_CHECK(ledger.worker_summaries().front().state ==
                 placement::health::quarantined);
     now += 60;
     auto const probe = hold_of("probe", "name-1", {1'000, 1, 0});
     auto const other = hold_of("other", "name-1", {1'000, 1, 0});
     BOOST_TEST(start(ledger, probe, at(now)) == "w-0");
     BOOST_TEST(start(ledger, other, at(now)) == "w-1");
-    ledger.finished(probe.attempt, model::task_end::succeeded, at(now + 1));
-    BOOST_CHECK(ledger.accounts().front().state == placement::health::good);
+    ledger.on_finished(probe.attempt, model::task_end::succeeded, at(now + 1));
+    BOOST_CHECK(ledger.worker_summaries().front().state ==
+                placement::health::good);
 }
 
 // One job fails wherever it runs. The workers must not be blamed for it, or a
@@ -280,9 +282,9 @@
                     "w-" + std::to_string((n + 1) % 3)};
         BOOST_TEST(start(ledger, it, at(n)) ==
                    "w-" + std::to_string((n + 2) % 3));
-        ledger.finished(it.attempt, model::task_end::failed, at(n));
+        ledger.on_finished(it.attempt, model::task_end::failed, at(n));
     }
-    for (auto const& it : ledger.accounts())
+    for (auto const& it : ledger.worker_summaries())
     {
         BOOST_CHECK(it.state == placement::health::good);
     }
@@ -300,9 +302,9 @@
     young.preempted = model::preemption::by_checkpoint;
     start(ledger, old, at(0));
     start(ledger, young, at(10));
-    ledger.observe("w-0",
-                   {running_of(old, {1, 1, 0}), running_of(young, {1, 1, 0})},
-                   at(11));
+    ledger.on_report("w-0",
+                     {running_of(old, {1, 1, 0}), running_of(young, {1, 1, 0})},
+                     at(11));
     auto urgent = hold_of("race", "race", {2'000, 1'024, 0});
     urgent.urgent = model::urgency::urgent;
     urgent.may_preempt = true;
@@ -310,7 +312,7 @@
     BOOST_CHECK(asked.answer.state == hold_state::preempting);
     BOOST_REQUIRE(asked.actions.size() == 1U);
     BOOST_CHECK(asked.actions.front().attempt == young.attempt);
-    ledger.finished(young.attempt, model::task_end::checkpointed, at(12.5));
+    ledger.on_finished(young.attempt, model::task_end::checkpointed, at(12.5));
     auto const between = hold_of("between", "daily", {2'000, 1'024, 0});
     BOOST_CHECK(ledger.hold(between, at(15), at(12.5)).answer.state ==
                 hold_state::full);
--- a/tests/placement/path_test.cpp
+++ b/tests/placement/path_test.cpp
@@ -27,7 +27,7 @@
         BOOST_TEST(cell.nothing_overfull());
     }
     BOOST_CHECK(cell.outcomes.at("job-1") == model::job_state::succeeded);
-    BOOST_TEST(cell.queue().jobs() == 0U);
+    BOOST_TEST(cell.queue().job_count() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_starts_whole_over_two_groups)
--- a/tests/placement/queue_test.cpp
+++ b/tests/placement/queue_test.cpp
@@ -140,8 +140,8 @@
     BOOST_CHECK(cell.outcomes.at("kitakaze-2") ==
                 model::job_state::outcome_unknown);
     auto const late = model::attempt_id{again.task, 1};
-    cell.queue().finished({late, model::task_end::succeeded, "w", {}, 1, {}},
-                          cell.now);
+    cell.queue().on_finished({late, model::task_end::succeeded, "w", {}, 1, {}},
+                             cell.now);
     BOOST_TEST(!cell.outcomes.contains("kitakaze-1"));
     cell.end(again, model::task_end::succeeded);
     BOOST_CHECK(cell.outcomes.at("kitakaze-1") == model::job_state::succeeded);
@@ -198,10 +198,10 @@
     BOOST_TEST(cancelled.releases.size() == 1U);
     BOOST_CHECK(cancelled.outcomes.at(0).state == model::job_state::cancelled);
     auto const late =
-        cell.queue().started(order.request.attempt, order.group, cell.now);
+        cell.queue().on_started(order.request.attempt, order.group, cell.now);
     BOOST_REQUIRE(late.releases.size() == 1U);
     BOOST_CHECK(late.releases.at(0).attempt == order.request.attempt);
-    BOOST_TEST(cell.queue().used_by("kitakaze").millicores == 0);
+    BOOST_TEST(cell.queue().usage_of("kitakaze").millicores == 0);
 }
 
 // Ten thousand cancellations arrive within a second. The others must still be
@@ -242,8 +242,8 @@
     }
     BOOST_TEST(last == jobs - 1);
     BOOST_TEST(cell.outcomes.size() == static_cast<std::size_t>(jobs));
-    BOOST_TEST(cell.queue().jobs() == 0U);
-    BOOST_TEST(cell.queue().used_by("kitakaze").millicores == 0);
+    BOOST_TEST(cell.queue().job_count() == 0U);
+    BOOST_TEST(cell.queue().usage_of("kitakaze").millicores == 0);
 }
 
 // One customer's reports fill the whole cell. Another's first jobs must not
@@ -286,7 +286,7 @@
     for (std::int32_t n = 0; n < 20; ++n)
     {
         cell.step();
-        BOOST_TEST(cell.queue().used_by("kitakaze").fits_in(narrow.quota));
+        BOOST_TEST(cell.queue().usage_of("kitakaze").fits_in(narrow.quota));
         cell.end(cell.running.begin()->first, model::task_end::succeeded);
         cell.true_peaks["monthly"] = {1'400, 1'400, 0};
         cell.advance(1);
--- a/tests/platform_adapter/job_requests_test.cpp
+++ b/tests/platform_adapter/job_requests_test.cpp
@@ -119,20 +119,21 @@
     step.tasks = 4;
     step.need = {500, 256, 1};
     step.estimate_ms = 900;
-    step.near_rack = "r1";
-    step.requirement = "a";
-    step.most_per_instance = 2;
-    step.checkpoints = true;
+    step.preferred_rack = "r1";
+    step.required_label = "a";
+    step.max_per_instance = 2;
+    step.can_checkpoint = true;
     step.gang = true;
     step.same_rack = true;
     step.copies_allowed = true;
-    step.lasting = true;
+    step.long_running = true;
     step.image = "im";
-    step.target_ms = 7;
-    step.fills = true;
-    step.may_miss = 3;
+    step.response_time_target_ms = 7;
+    step.uses_spare_cpu = true;
+    step.max_unavailable = 3;
     BOOST_TEST((call->spec.steps.at(0) == step));
-    BOOST_TEST((call->spec.steps.at(1).after == std::vector<std::uint32_t>{0}));
+    BOOST_TEST(
+        (call->spec.steps.at(1).depends_on == std::vector<std::uint32_t>{0}));
     BOOST_TEST((call->spec.repeats == workload::repetition{2, 10, 20}));
 }
 
--- a/tests/scheduler/account_cap_test.cpp
+++ b/tests/scheduler/account_cap_test.cpp
@@ -15,7 +15,7 @@
     workload::queue_spec queue;
     queue.name = "q";
     queue.service = "svc";
-    queue.attempts = 2;
+    queue.max_attempts = 2;
     queue.stretch = 2;
     out.queues = {queue};
     out.accounts =
@@ -139,7 +139,7 @@
               {{1, first[0].attempt, end_reason::done, {}}});
     auto const next = it.starts();
     BOOST_REQUIRE(next.size() == 3U);
-    BOOST_TEST((next[0].attempt.task.of.job == workload::job_id{2}));
+    BOOST_TEST((next[0].attempt.task.step.job == workload::job_id{2}));
 }
 
 /// A caller waits in vain for a job that can never start: it needs more at
--- a/tests/scheduler/advised_cell.hpp
+++ b/tests/scheduler/advised_cell.hpp
@@ -23,7 +23,7 @@
         workload::queue_spec queue;
         queue.name = "q";
         queue.service = "svc";
-        queue.attempts = 2;
+        queue.max_attempts = 2;
         queue.stretch = 2;
         queue.target_latency = std::chrono::seconds{20};
         queue.advice =
--- a/tests/scheduler/bench_owner.hpp
+++ b/tests/scheduler/bench_owner.hpp
@@ -29,7 +29,7 @@
         workload::queue_spec queue;
         queue.name = "q";
         queue.service = "svc";
-        queue.attempts = 2;
+        queue.max_attempts = 2;
         queue.stretch = 2;
         configuration.queues = {queue};
         decisions.set_configuration(configuration);
--- a/tests/scheduler/crash_limit_test.cpp
+++ b/tests/scheduler/crash_limit_test.cpp
@@ -122,7 +122,7 @@
 {
     auto out = bench_owner::job(1, it.tasks);
     out.steps[0].gang = it.gang;
-    out.steps[0].lasting = it.lasting;
+    out.steps[0].long_running = it.lasting;
     out.steps[0].copies_allowed = it.copies;
     return out;
 }
--- a/tests/scheduler/leave_test.cpp
+++ b/tests/scheduler/leave_test.cpp
@@ -60,8 +60,8 @@
     it.list("a");
     it.report("a");
     auto job = bench_owner::job(1, 1);
-    job.steps[0].checkpoints = sample.checkpoints;
-    job.steps[0].lasting = sample.lasting;
+    job.steps[0].can_checkpoint = sample.checkpoints;
+    job.steps[0].long_running = sample.lasting;
     it.decisions.submit(job, 0, it.now);
     auto const starts = it.starts();
     BOOST_REQUIRE(starts.size() == 1U);
--- a/tests/scheduler/placement_test.cpp
+++ b/tests/scheduler/placement_test.cpp
@@ -46,14 +46,14 @@
 workload::step_spec near(std::string const& rack)
 {
     auto out = step(1, 1'000);
-    out.near_rack = rack;
+    out.preferred_rack = rack;
     return out;
 }
 
 workload::step_spec apart()
 {
     auto out = step(3, 1'000);
-    out.most_per_instance = 1;
+    out.max_per_instance = 1;
     return out;
 }
 
--- a/tests/scheduler/preempt_test.cpp
+++ b/tests/scheduler/preempt_test.cpp
@@ -45,7 +45,7 @@
     workload::queue_spec out;
     out.name = name;
     out.service = "svc";
-    out.attempts = 2;
+    out.max_attempts = 2;
     out.stretch = 2;
     out.priority = priority;
     out.target_latency = target;
@@ -75,7 +75,7 @@
     it.report("b");
     auto others = bench_owner::job(1, 8);
     others.queue = "others";
-    others.steps[0].checkpoints = sample.checkpoints;
+    others.steps[0].can_checkpoint = sample.checkpoints;
     it.decisions.submit(others, 0, it.now);
     auto const running = it.starts();
     BOOST_REQUIRE(running.size() == 8U);
--- a/tests/scheduler/world.cpp
+++ b/tests/scheduler/world.cpp
@@ -20,12 +20,12 @@
     workload::queue_spec plain;
     plain.name = "plain";
     plain.service = "svc";
-    plain.attempts = 3;
+    plain.max_attempts = 3;
     plain.stretch = 2;
     plain.target_latency = std::chrono::milliseconds{500};
     auto advised = plain;
     advised.name = "advised";
-    advised.attempts = 2;
+    advised.max_attempts = 2;
     advised.advice = workload::advice_spec{std::chrono::milliseconds{20},
                                            std::chrono::milliseconds{1},
                                            std::chrono::milliseconds{2'000}};
@@ -253,14 +253,14 @@
             // Any single instance can hold it, so that it can always run.
             step.need = {1'000, 1'000, 0};
         }
-        step.checkpoints = chance(0.3);
+        step.can_checkpoint = chance(0.3);
         if (!step.gang && chance(0.2))
         {
-            step.most_per_instance = 2;
+            step.max_per_instance = 2;
         }
         if (n > 0 && chance(0.8))
         {
-            step.after = {static_cast<std::uint32_t>(n - 1)};
+            step.depends_on = {static_cast<std::uint32_t>(n - 1)};
         }
         spec.steps.push_back(step);
     }
--- a/tests/scheduler/world_checks.cpp
+++ b/tests/scheduler/world_checks.cpp
@@ -7,9 +7,9 @@
                         scheduler::start_order const& it)
 {
     auto const name = text_of(it.attempt.task);
-    auto const* const spec = spec_of(it.attempt.task.of);
+    auto const* const spec = spec_of(it.attempt.task.step);
     if (spec == nullptr ||
-        it.payload != "payload " + text_of(it.attempt.task.of.job))
+        it.payload != "payload " + text_of(it.attempt.task.step.job))
     {
         broken("a start that nobody asked for: " + name);
         return;
@@ -18,13 +18,13 @@
     std::uint32_t of_step = 0;
     for (auto const& [other, running] : at.running)
     {
-        auto const* const known = spec_of(other.task.of);
-        used += known->counted_need();
-        of_step += other.task.of == it.attempt.task.of ? 1 : 0;
+        auto const* const known = spec_of(other.task.step);
+        used += known->reserved_need();
+        of_step += other.task.step == it.attempt.task.step ? 1 : 0;
     }
-    check_room(at, used + spec->counted_need());
+    check_room(at, used + spec->reserved_need());
     check_crashes(it.attempt.task);
-    if (spec->most_per_instance != 0 && of_step >= spec->most_per_instance)
+    if (spec->max_per_instance != 0 && of_step >= spec->max_per_instance)
     {
         broken("too many of a step on " + at.id + ": " + name);
     }
@@ -45,19 +45,19 @@
     {
         broken("again after its end was acknowledged: " + name);
     }
-    auto const& job = m_submitted.at(it.attempt.task.of.job);
+    auto const& job = m_submitted.at(it.attempt.task.step.job);
     if (m_refused.contains(job.id))
     {
         broken("a refused job starts: " + name);
     }
     check_cap(job, *spec);
     m_begun.insert(job.id);
-    for (auto const before : spec->after)
+    for (auto const before : spec->depends_on)
     {
         for (std::uint32_t n = 0; n < job.steps[before].tasks; ++n)
         {
             auto earlier = it.attempt.task;
-            earlier.of.step = before;
+            earlier.step.step_index = before;
             earlier.index = n;
             if (!m_done.contains(earlier) && !job.steps[before].gang)
             {
@@ -80,9 +80,9 @@
     {
         for (auto const& [running, state] : at->running)
         {
-            auto const& other = m_submitted.at(running.task.of.job);
+            auto const& other = m_submitted.at(running.task.step.job);
             used += at->up && other.account == job.account
-                        ? spec_of(running.task.of)->need.cpu_millis
+                        ? spec_of(running.task.step)->need.cpu_millis
                         : 0;
         }
     }
--- a/tests/scheduler/world_platform.cpp
+++ b/tests/scheduler/world_platform.cpp
@@ -38,9 +38,9 @@
 workload::step_spec const* world::spec_of(workload::step_name const& it) const
 {
     auto const at = m_submitted.find(it.job);
-    return at == m_submitted.end() || it.step >= at->second.steps.size()
+    return at == m_submitted.end() || it.step_index >= at->second.steps.size()
                ? nullptr
-               : &at->second.steps[it.step];
+               : &at->second.steps[it.step_index];
 }
 
 start_answer world::begin(fake_instance& at,
@@ -77,7 +77,7 @@
                  {"until", it.until_ms - clock}});
     ++m_starts;
     at.running[it.attempt].present_at = m_now;
-    auto const* const spec = spec_of(it.attempt.task.of);
+    auto const* const spec = spec_of(it.attempt.task.step);
     if (spec != nullptr && spec->gang)
     {
         crash_soon(at, it.attempt);
@@ -109,7 +109,7 @@
 
 void world::finish_later(fake_instance& at, attempt_name const& name)
 {
-    auto const* const spec = spec_of(name.task.of);
+    auto const* const spec = spec_of(name.task.step);
     at.running[name].at_work = true;
     auto const reason = chance(0.08) ? end_reason::failed : end_reason::done;
     auto const id = at.id;
@@ -131,7 +131,7 @@
     {
         for (auto const& [name, running] : it->running)
         {
-            out += name.task.of == of.task.of && name.run == of.run ? 1 : 0;
+            out += name.task.step == of.task.step && name.run == of.run ? 1 : 0;
         }
     }
     return out;
@@ -140,7 +140,7 @@
 /// When all members of a run are there, they go to work and end together.
 void world::gang_begins(attempt_name const& of)
 {
-    auto const* const spec = spec_of(of.task.of);
+    auto const* const spec = spec_of(of.task.step);
     if (members_present(of) < spec->tasks)
     {
         return;
@@ -149,7 +149,7 @@
     {
         for (auto& [name, running] : it->running)
         {
-            if (name.task.of == of.task.of && name.run == of.run)
+            if (name.task.step == of.task.step && name.run == of.run)
             {
                 running.at_work = true;
             }
@@ -159,7 +159,7 @@
     after(work_of(*spec),
           [this, of, reason]
           {
-              if (members_present(of) == spec_of(of.task.of)->tasks)
+              if (members_present(of) == spec_of(of.task.step)->tasks)
               {
                   gang_ends(of, nullptr, reason);
               }
@@ -172,7 +172,7 @@
                       fake_instance const* by,
                       end_reason reason)
 {
-    auto const* const spec = spec_of(of.task.of);
+    auto const* const spec = spec_of(of.task.step);
     if (spec == nullptr || !spec->gang)
     {
         return;
@@ -186,7 +186,7 @@
         std::vector<attempt_name> members;
         for (auto const& [name, running] : it->running)
         {
-            if (name.task.of == of.task.of && name.run == of.run &&
+            if (name.task.step == of.task.step && name.run == of.run &&
                 running.at_work)
             {
                 members.push_back(name);
@@ -197,7 +197,7 @@
             list_end(*it, name, reason);
             if (reason == end_reason::failed)
             {
-                m_failed_runs[name.task.of].insert(name.run);
+                m_failed_runs[name.task.step].insert(name.run);
                 reason = end_reason::broken;
             }
         }
@@ -229,7 +229,7 @@
 
 void world::end(fake_instance& at, attempt_name const& name, end_reason reason)
 {
-    auto const* const spec = spec_of(name.task.of);
+    auto const* const spec = spec_of(name.task.step);
     auto const at_work = at.running.at(name).at_work;
     list_end(at, name, reason);
     if (spec != nullptr && spec->gang && at_work)
--- a/tests/workload/account_table_test.cpp
+++ b/tests/workload/account_table_test.cpp
@@ -83,7 +83,7 @@
 {
     workload::account_table const table{{account("first", {"k1", "k2", "both"}),
                                          account("second", {"k3", "both"})}};
-    auto const* const owner = table.owner_of(sample.key);
+    auto const* const owner = table.find_by_key(sample.key);
     BOOST_TEST((owner == nullptr ? "" : owner->name) == sample.owner);
 }
 
--- a/utilities/bench/bench_cell.cpp
+++ b/utilities/bench/bench_cell.cpp
@@ -98,8 +98,8 @@
     auto const it = m_running.back();
     m_running.pop_back();
     auto& ledger = m_ledgers[static_cast<std::size_t>(it.ledger)];
-    ledger.finished(it.attempt, model::task_end::succeeded, m_now);
-    m_queue.finished(
+    ledger.on_finished(it.attempt, model::task_end::succeeded, m_now);
+    m_queue.on_finished(
         {it.attempt, model::task_end::succeeded, "worker", s_declared, 60, {}},
         m_now);
     m_changed.insert(it.ledger);
@@ -124,13 +124,13 @@
         ledger.hold(order.request, m_now + s_hold_span, m_now).answer;
     if (found.state != placement::hold_state::held)
     {
-        m_queue.refused(attempt, found.state, m_now);
+        m_queue.on_refused(attempt, found.state, m_now);
         m_changed.insert(index);
         return 0;
     }
     m_changed.insert(index);
     ledger.commit(attempt, m_now);
-    m_queue.started(attempt, order.group, m_now);
+    m_queue.on_started(attempt, order.group, m_now);
     m_running.push_back({attempt, index, order.request.need});
     return 1;
 }
--- a/utilities/bench/replay_own.cpp
+++ b/utilities/bench/replay_own.cpp
@@ -74,7 +74,7 @@
     auto const now = instant_of(now_s);
     for (auto& [name, ledger] : m_ledgers)
     {
-        ledger.expire(now);
+        ledger.expire_holds(now);
         m_queue.update_group(ledger.digest(), now);
     }
     carry_out(m_queue.decide(now, s_most), now);
@@ -128,7 +128,7 @@
     }
     if (found.answer.state != placement::hold_state::held)
     {
-        next.append(m_queue.refused(attempt, found.answer.state, now));
+        next.append(m_queue.on_refused(attempt, found.answer.state, now));
     }
     else if (order.mode == placement::hold_mode::start)
     {
@@ -136,7 +136,7 @@
     }
     else
     {
-        next.append(m_queue.held(attempt, order.group, now));
+        next.append(m_queue.on_held(attempt, order.group, now));
     }
 }
 
@@ -148,12 +148,13 @@
     auto const order = m_ledgers.at(group).commit(attempt, now);
     if (!order)
     {
-        next.append(m_queue.refused(attempt, placement::hold_state::full, now));
+        next.append(
+            m_queue.on_refused(attempt, placement::hold_state::full, now));
         return;
     }
     m_starts.push_back({std::stoi(attempt.task.job), attempt.task.index,
                         attempt.number, std::stoi(order->worker)});
-    next.append(m_queue.started(attempt, group, now));
+    next.append(m_queue.on_started(attempt, group, now));
 }
 
 void own_scheduler::ended(replay_task const& it,
@@ -163,14 +164,14 @@
     auto const now = instant_of(now_s);
     auto const attempt = attempt_of(it.start);
     m_stops.erase(attempt);
-    ledger_of(it.start.worker).finished(attempt, end, now);
-    carry_out(m_queue.finished({attempt,
-                                end,
-                                std::to_string(it.start.worker),
-                                it.largest,
-                                now_s - it.started_s,
-                                {}},
-                               now),
+    ledger_of(it.start.worker).on_finished(attempt, end, now);
+    carry_out(m_queue.on_finished({attempt,
+                                   end,
+                                   std::to_string(it.start.worker),
+                                   it.largest,
+                                   now_s - it.started_s,
+                                   {}},
+                                  now),
               now);
 }
 
@@ -190,10 +191,10 @@
         by_attempt[attempt] = it;
         it->stop |= m_stops.erase(attempt) > 0;
         it->checkpoint |= m_checkpoints.erase(attempt) > 0;
-        m_queue.used(attempt, it->reported);
+        m_queue.on_usage(attempt, it->reported);
     }
-    auto const actions = ledger_of(worker).observe(std::to_string(worker),
-                                                   running, instant_of(now_s));
+    auto const actions = ledger_of(worker).on_report(
+        std::to_string(worker), running, instant_of(now_s));
     for (auto const& it : actions)
     {
         auto const found = by_attempt.find(it.attempt);
--- a/utilities/cell_replay/cell_load.cpp
+++ b/utilities/cell_replay/cell_load.cpp
@@ -67,7 +67,7 @@
     workload::queue_spec out;
     out.name = in.at("queue").as_string().c_str();
     out.service = "service";
-    out.attempts = static_cast<std::uint32_t>(number(in, "attempts", 4));
+    out.max_attempts = static_cast<std::uint32_t>(number(in, "attempts", 4));
     out.stretch = number(in, "stretch", 1);
     out.priority = static_cast<std::int32_t>(number(in, "priority"));
     out.target_latency = milliseconds(in, "target_ms");
@@ -150,7 +150,7 @@
         std::max(least, std::lround(work_s * ms_per_s * std::exp(off)));
     boost::random::uniform_01<double> chance;
     out.gang = chance(from) < kind.gang_share;
-    out.checkpoints = chance(from) < kind.checkpoint_share;
+    out.can_checkpoint = chance(from) < kind.checkpoint_share;
     return out;
 }
 
@@ -170,7 +170,7 @@
         auto step = draw_step(from, kind, out.work_s.back());
         if (n > 0)
         {
-            step.after = {n - 1};
+            step.depends_on = {n - 1};
         }
         chain += out.work_s.back();
         out.work += out.work_s.back() * step.tasks *
--- a/utilities/cell_replay/replay.cpp
+++ b/utilities/cell_replay/replay.cpp
@@ -344,7 +344,7 @@
 
 drawn_job const& replay::job_of(scheduler::attempt_name const& it) const
 {
-    return m_jobs[it.task.of.job.number - 1];
+    return m_jobs[it.task.step.job.number - 1];
 }
 
 void replay::look_for_ends()
--- a/utilities/cell_replay/replay_instances.cpp
+++ b/utilities/cell_replay/replay_instances.cpp
@@ -26,13 +26,13 @@
 void replay::begin(scheduler::attempt_name const& it, replayed_instance& at)
 {
     auto const& job = job_of(it);
-    auto const& step = job.spec.steps[it.task.of.step];
+    auto const& step = job.spec.steps[it.task.step.step_index];
     if (!step.gang)
     {
         work(it, at);
         return;
     }
-    if (++m_present[it.task.of][it.run] < step.tasks)
+    if (++m_present[it.task.step][it.run] < step.tasks)
     {
         return;
     }
@@ -41,7 +41,7 @@
     {
         for (auto const& [name, run] : each->running())
         {
-            if (name.task.of == it.task.of && name.run == it.run)
+            if (name.task.step == it.task.step && name.run == it.run)
             {
                 work(name, *each);
             }
@@ -53,7 +53,7 @@
 void replay::work(scheduler::attempt_name const& it, replayed_instance& at)
 {
     auto const& job = job_of(it);
-    auto const& step = job.spec.steps[it.task.of.step];
+    auto const& step = job.spec.steps[it.task.step.step_index];
     auto speed = at.speed();
     auto uneven = unevenness(it.task);
     if (step.gang)
@@ -63,12 +63,12 @@
         uneven = 1;
     }
     auto const saved = at.running().at(it).saved_s;
-    auto const takes = span_of(
-        std::max(0.0, (job.work_s[it.task.of.step] * uneven - saved) / speed));
+    auto const takes = span_of(std::max(
+        0.0, (job.work_s[it.task.step.step_index] * uneven - saved) / speed));
     at.set_to_work(it, takes, m_time.now());
     auto const fails = m_load.kinds[job.kind].fail_share;
     // The members of a gang fail together.
-    auto const named = step.gang ? text_of(it.task.of) : text_of(it.task);
+    auto const named = step.gang ? text_of(it.task.step) : text_of(it.task);
     auto const reason = chance_of(named + std::to_string(it.run)) < fails
                             ? scheduler::end_reason::failed
                             : scheduler::end_reason::done;
@@ -90,7 +90,7 @@
     auto const found = instance.running().find(it);
     if (found != instance.running().end() &&
         reason == scheduler::end_reason::stopped &&
-        job_of(it).spec.steps[it.task.of.step].checkpoints)
+        job_of(it).spec.steps[it.task.step.step_index].can_checkpoint)
     {
         auto const worked = seconds_since(found->second.began, m_time.now());
         checkpoint =
@@ -111,7 +111,8 @@
 double replay::core_seconds(replayed_instance::run const& it) const
 {
     constexpr double millis = 1'000;
-    auto const& step = job_of(it.attempt).spec.steps[it.attempt.task.of.step];
+    auto const& step =
+        job_of(it.attempt).spec.steps[it.attempt.task.step.step_index];
     return seconds_since(it.began, m_time.now()) *
            static_cast<double>(step.need.cpu_millis) / millis;
 }
