--- a/libraries/scheduler/instance.cpp
+++ b/libraries/scheduler/instance.cpp
@@ -141,7 +141,7 @@
 {
     return static_cast<std::uint32_t>(std::ranges::count_if(
         m_attempts, [it](auto const& each)
-        { return each.second.suspect && each.first.task.of.job != it; }));
+        { return each.second.suspect && each.first.task.step.job != it; }));
 }
 
 bool instance::has_label(std::string const& label) const
