--- a/libraries/cell/advice_desk.cpp
+++ b/libraries/cell/advice_dispatcher.cpp
@@ -1,4 +1,4 @@
-#include <cell/advice_desk.hpp>
+#include <cell/advice_dispatcher.hpp>
 
 #include <utility>
 
@@ -19,10 +19,10 @@
 
 } // namespace
 
-advice_desk::advice_desk(base::clock const& clock,
-                         advice_link& own,
-                         peer_client& peers,
-                         peers_function others)
+advice_dispatcher::advice_dispatcher(base::clock const& clock,
+                                     advice_link& own,
+                                     peer_client& peers,
+                                     peers_function others)
     : m_clock{clock}
     , m_own{own}
     , m_peers{peers}
@@ -30,7 +30,7 @@
 {
 }
 
-std::vector<peer> const& advice_desk::others()
+std::vector<peer> const& advice_dispatcher::others()
 {
     auto const now = m_clock.now();
     if (now >= m_known_until)
@@ -41,12 +41,12 @@
     return m_known;
 }
 
-std::size_t advice_desk::machines()
+std::size_t advice_dispatcher::machines()
 {
     return others().size() + 1;
 }
 
-void advice_desk::ask(scheduler::advice_order const& it, handler done)
+void advice_dispatcher::ask(scheduler::advice_order const& it, handler done)
 {
     auto const number = ++m_last_number;
     m_queue.add(number, it);
@@ -54,7 +54,7 @@
     send_next();
 }
 
-void advice_desk::send_next()
+void advice_dispatcher::send_next()
 {
     if (m_queue.waiting() == 0)
     {
@@ -67,7 +67,7 @@
     }
 }
 
-void advice_desk::send(advice_queue::assignment const& it)
+void advice_dispatcher::send(advice_queue::assignment const& it)
 {
     auto const& order = m_questions.at(it.question).order;
     auto const timeout = order.expected * expected_factor + answer_slack;
@@ -84,8 +84,8 @@
                    std::move(done));
 }
 
-void advice_desk::answered(advice_queue::assignment const& it,
-                           advice_result const& result)
+void advice_dispatcher::answered(advice_queue::assignment const& it,
+                                 advice_result const& result)
 {
     m_queue.ended(it.machine, result.answered, m_clock.now());
     auto const known = m_questions.extract(it.question);
--- a/libraries/cell/advice_desk.hpp
+++ b/libraries/cell/advice_dispatcher.hpp
@@ -16,7 +16,7 @@
 
 /// Has the machines of the cell ask the questions for advice, as the queue
 /// says. Lives on the event loop.
-class advice_desk
+class advice_dispatcher
 {
 public:
     using handler = std::function<void(advice_result const&)>;
@@ -24,10 +24,10 @@
     /// Fills in the other processes that live now.
     using peers_function = std::function<std::vector<peer>()>;
 
-    advice_desk(base::clock const& clock,
-                advice_link& own,
-                peer_client& peers,
-                peers_function others);
+    advice_dispatcher(base::clock const& clock,
+                      advice_link& own,
+                      peer_client& peers,
+                      peers_function others);
 
     /// How many machines can ask now, this one included.
     [[nodiscard]] std::size_t machines();
--- a/libraries/cell/advice_queue.cpp
+++ b/libraries/cell/advice_queue.cpp
@@ -45,31 +45,32 @@
 /// This machine comes first: it costs no way to another one.
 void advice_queue::set_machines(std::vector<peer> const& others)
 {
-    if (!m_order.empty() && others == m_others)
+    if (!m_candidates.empty() && others == m_others)
     {
         return;
     }
     m_others = others;
-    m_order.clear();
-    m_order.push_back(&*m_machines.try_emplace({}).first);
+    m_candidates.clear();
+    m_candidates.push_back(&*m_machines.try_emplace({}).first);
     for (auto const& it : others)
     {
-        m_order.push_back(&*m_machines.try_emplace(it.address).first);
+        m_candidates.push_back(&*m_machines.try_emplace(it.address).first);
     }
 }
 
 /// The machine that asks least; of equals the first. Null: none is free.
-advice_queue::known_machine*
-advice_queue::choose(std::size_t from, bool takes_long, base::instant now) const
+advice_queue::known_machine* advice_queue::least_busy(std::size_t from,
+                                                      bool takes_long,
+                                                      base::instant now) const
 {
     known_machine* best = nullptr;
     auto least = most_short;
-    for (auto n = from; n < m_order.size(); ++n)
+    for (auto n = from; n < m_candidates.size(); ++n)
     {
-        auto const& it = m_order[n]->second;
+        auto const& it = m_candidates[n]->second;
         if (is_free(it, takes_long, now) && it.asking < least)
         {
-            best = m_order[n];
+            best = m_candidates[n];
             least = it.asking;
         }
     }
@@ -85,9 +86,9 @@
     }
     set_machines(others);
     auto kept = std::size_t{0};
-    if (m_order.size() >= least_to_keep)
+    if (m_candidates.size() >= least_to_keep)
     {
-        kept = std::max(least_kept, m_order.size() / kept_for_short);
+        kept = std::max(least_kept, m_candidates.size() / kept_for_short);
     }
     auto const first_long = std::ranges::find_if(
         m_waiting, [](auto const& it) { return it.first.takes_long; });
@@ -98,11 +99,11 @@
             continue;
         }
         auto const takes_long = at->first.takes_long;
-        auto* to = choose(takes_long ? kept : 0, takes_long, now);
+        auto* to = least_busy(takes_long ? kept : 0, takes_long, now);
         if (to == nullptr && m_asking == 0)
         {
             // All are avoided: better to try than to wait for nothing.
-            to = m_order.front();
+            to = m_candidates.front();
         }
         if (to != nullptr)
         {
--- a/libraries/cell/advice_queue.hpp
+++ b/libraries/cell/advice_queue.hpp
@@ -75,14 +75,14 @@
 
     void set_machines(std::vector<peer> const& others);
     [[nodiscard]] known_machine*
-    choose(std::size_t from, bool takes_long, base::instant now) const;
+    least_busy(std::size_t from, bool takes_long, base::instant now) const;
 
     std::map<turn, base::duration> m_waiting;
     machines m_machines;
     std::vector<peer> m_others;
     /// Those that live now, in the order in which they are asked. Looked at
     /// for each question, so they are not looked up by name.
-    std::vector<known_machine*> m_order;
+    std::vector<known_machine*> m_candidates;
     std::size_t m_asking{0};
 };
 
--- a/libraries/cell/batch_waiters.cpp
+++ b/libraries/cell/batch_waiters.cpp
@@ -37,7 +37,7 @@
     m_sent = std::exchange(m_next, {});
 }
 
-void batch_waiters::batch_returned()
+void batch_waiters::batch_not_stored()
 {
     m_sent.insert(m_sent.end(), std::make_move_iterator(m_next.begin()),
                   std::make_move_iterator(m_next.end()));
@@ -77,7 +77,7 @@
 {
     auto const over = [&](batch_waiter const& it)
     {
-        return now >= it.until;
+        return now >= it.deadline;
     };
     auto out = take_where(m_next, over);
     auto sent = take_where(m_sent, over);
--- a/libraries/cell/batch_waiters.hpp
+++ b/libraries/cell/batch_waiters.hpp
@@ -16,7 +16,7 @@
     /// What it submitted; 0 where it did not.
     workload::job_id submitted;
     /// It is not kept longer.
-    base::instant until;
+    base::instant deadline;
 };
 
 /// The clients of an owner that wait for the store: some for the batch that is
@@ -37,7 +37,7 @@
     void batch_sent();
 
     /// The batch is surely not stored: its clients wait for the next one.
-    void batch_returned();
+    void batch_not_stored();
 
     /// The batch is stored; returns whose answer that is.
     [[nodiscard]] list batch_stored();
--- a/libraries/cell/byte_budget.hpp
+++ b/libraries/cell/byte_budget.hpp
@@ -18,7 +18,7 @@
 
     /// Whether so many bytes may be sent now; they then count. What is larger
     /// than the depth may be sent too, and what comes after waits for it.
-    [[nodiscard]] bool take(std::size_t bytes, base::instant now);
+    [[nodiscard]] bool try_take(std::size_t bytes, base::instant now);
 
 private:
     std::int64_t m_bytes_per_s;
--- a/libraries/cell/call_router.cpp
+++ b/libraries/cell/call_router.cpp
@@ -25,9 +25,11 @@
 
 } // namespace
 
-struct call_router::trip
+struct call_router::pending_call
 {
-    trip(boost::asio::io_context& loop, job_call it, job_answer_handler then)
+    pending_call(boost::asio::io_context& loop,
+                 job_call it,
+                 job_answer_handler then)
         : call{std::move(it)}
         , done{std::move(then)}
         , timer{loop}
@@ -76,21 +78,21 @@
         }
     }
     auto const made =
-        std::make_shared<trip>(m_loop, std::move(it), std::move(done));
+        std::make_shared<pending_call>(m_loop, std::move(it), std::move(done));
     auto const now = m_clock.now();
     made->answer_by = now + made->call.timeout - answer_margin;
     made->search_until = std::min(now + longest_search, made->answer_by);
     ++m_under_way;
-    go(made);
+    send_to_owner(made);
 }
 
-void call_router::go(trip_pointer const& it)
+void call_router::send_to_owner(pending_call_pointer const& it)
 {
     auto const left = it->answer_by - m_clock.now();
     it->call.timeout = left;
     if (left.count() > 0 &&
-        m_local(it->call,
-                [this, it](job_answer const& answer) { given(it, answer); }))
+        m_local(it->call, [this, it](job_answer const& answer)
+                { owner_answered(it, answer); }))
     {
         return;
     }
@@ -104,14 +106,15 @@
     ++it->asked;
     m_peers.call(m_owner.owner().address, it->call, left,
                  [this, it, n = it->asked](peer_result<job_answer> const& end)
-                 { returned(it, n, end); });
+                 { peer_call_ended(it, n, end); });
     watch_owner(it, it->asked);
 }
 
 /// A store that is slow keeps an owner from answering for a second and more. An
 /// owner that is lost does not answer at all: the others find that out sooner
 /// than any client's time is over.
-void call_router::watch_owner(trip_pointer const& it, std::uint32_t asked)
+void call_router::watch_owner(pending_call_pointer const& it,
+                              std::uint32_t asked)
 {
     it->timer.expires_after(owner_look);
     it->timer.async_wait(
@@ -133,9 +136,9 @@
         });
 }
 
-void call_router::returned(trip_pointer const& it,
-                           std::uint32_t asked,
-                           peer_result<job_answer> const& end)
+void call_router::peer_call_ended(pending_call_pointer const& it,
+                                  std::uint32_t asked,
+                                  peer_result<job_answer> const& end)
 {
     if (!it->done)
     {
@@ -159,12 +162,13 @@
         retry(it);
         return;
     }
-    given(it, *end.answer);
+    owner_answered(it, *end.answer);
 }
 
 /// An owner that loses or gives up its right sends its callers on to the next
 /// one.
-void call_router::given(trip_pointer const& it, job_answer const& answer)
+void call_router::owner_answered(pending_call_pointer const& it,
+                                 job_answer const& answer)
 {
     if (answer.kind == job_answer_kind::not_owner ||
         answer.kind == job_answer_kind::interrupted)
@@ -177,7 +181,7 @@
     finish(it, answer);
 }
 
-void call_router::retry(trip_pointer const& it)
+void call_router::retry(pending_call_pointer const& it)
 {
     auto const until = it->maybe_done ? it->answer_by : it->search_until;
     if (m_clock.now() + retry_pause < until)
@@ -188,20 +192,21 @@
             {
                 if (it->done)
                 {
-                    go(it);
+                    send_to_owner(it);
                 }
             });
         return;
     }
     auto const changes = it->call.kind == job_call_kind::submit ||
                          it->call.kind == job_call_kind::cancel;
-    finish(it,
-           it->maybe_done && changes
-               ? job_answer{job_answer_kind::outcome_unknown, {}, 0, {}}
-               : job_answer{job_answer_kind::refused, {}, 0, come_back_after});
+    finish(it, it->maybe_done && changes
+                   ? job_answer{job_answer_kind::outcome_unknown, {}, 0, {}}
+                   : job_answer{
+                         job_answer_kind::refused, {}, 0, default_retry_after});
 }
 
-void call_router::finish(trip_pointer const& it, job_answer const& answer)
+void call_router::finish(pending_call_pointer const& it,
+                         job_answer const& answer)
 {
     if (!it->done)
     {
--- a/libraries/cell/call_router.hpp
+++ b/libraries/cell/call_router.hpp
@@ -41,17 +41,18 @@
     }
 
 private:
-    struct trip;
-    using trip_pointer = std::shared_ptr<trip>;
+    struct pending_call;
+    using pending_call_pointer = std::shared_ptr<pending_call>;
 
-    void go(trip_pointer const& it);
-    void watch_owner(trip_pointer const& it, std::uint32_t asked);
-    void returned(trip_pointer const& it,
-                  std::uint32_t asked,
-                  peer_result<job_answer> const& end);
-    void given(trip_pointer const& it, job_answer const& answer);
-    void retry(trip_pointer const& it);
-    void finish(trip_pointer const& it, job_answer const& answer);
+    void send_to_owner(pending_call_pointer const& it);
+    void watch_owner(pending_call_pointer const& it, std::uint32_t asked);
+    void peer_call_ended(pending_call_pointer const& it,
+                         std::uint32_t asked,
+                         peer_result<job_answer> const& end);
+    void owner_answered(pending_call_pointer const& it,
+                        job_answer const& answer);
+    void retry(pending_call_pointer const& it);
+    void finish(pending_call_pointer const& it, job_answer const& answer);
 
     boost::asio::io_context& m_loop;
     base::clock const& m_clock;
--- a/libraries/cell/cell_owner.cpp
+++ b/libraries/cell/cell_owner.cpp
@@ -21,7 +21,7 @@
 
 /// The list of instances changes each heartbeat; this bounds how often it is
 /// read.
-constexpr follow_pace instances_pace{
+constexpr follow_options instances_pace{
     std::chrono::milliseconds{500}, std::chrono::milliseconds{250},
     std::chrono::milliseconds{700}, std::chrono::milliseconds{100}};
 
@@ -39,12 +39,12 @@
                        std::map<std::string, std::string> const& records,
                        std::uint64_t token,
                        std::uint64_t next,
-                       deposed_handler deposed)
+                       ownership_lost_handler on_ownership_lost)
     : m_parts{parts}
     , m_decisions{rules, *parts.log, parts.clock->now()}
     , m_token{token}
     , m_next{next}
-    , m_deposed{std::move(deposed)}
+    , m_on_ownership_lost{std::move(on_ownership_lost)}
     , m_append{*parts.loop, *parts.clock, *parts.cell, *parts.latency}
     , m_instances{*parts.loop, *parts.clock, *parts.instances, "instances",
                   instances_pace}
@@ -55,7 +55,7 @@
     m_decisions.restore(records, wall_ms(*parts.clock), parts.clock->now());
     m_instances.on_change([this](auto const& key, auto const& value)
                           { instance_changed(key, value); });
-    m_instances.on_caught_up([this] { soon(); });
+    m_instances.on_caught_up([this] { schedule_round(); });
     m_instances.start();
     every_tick();
 }
@@ -77,10 +77,10 @@
 void cell_owner::set_configuration(workload::cell_configuration const& it)
 {
     m_decisions.set_configuration(it);
-    soon();
+    schedule_round();
 }
 
-bool cell_owner::takes_nothing() const
+bool cell_owner::store_blocked() const
 {
     return store_stuck() >
            (store_refuses() ? refused_limit : m_parts.latency->stuck_limit());
@@ -132,10 +132,10 @@
         done({job_answer_kind::accepted, *phase, 0, {}});
         return;
     }
-    if (takes_nothing())
+    if (store_blocked())
     {
         log_refusal(it.job);
-        done({job_answer_kind::refused, {}, 0, come_back_after});
+        done({job_answer_kind::refused, {}, 0, default_retry_after});
         return;
     }
     auto const now = m_parts.clock->now();
@@ -159,10 +159,10 @@
 
 void cell_owner::cancel(job_call const& it, job_answer_handler done)
 {
-    if (takes_nothing())
+    if (store_blocked())
     {
         log_refusal(it.job);
-        done({job_answer_kind::refused, {}, 0, come_back_after});
+        done({job_answer_kind::refused, {}, 0, default_retry_after});
         return;
     }
     auto const end = m_decisions.cancel(it.job, m_parts.clock->now());
@@ -181,7 +181,7 @@
 
 /// Several events that come together lead to one round of decisions and one
 /// batch.
-void cell_owner::soon()
+void cell_owner::schedule_round()
 {
     if (std::exchange(m_scheduled, true) || m_lost)
     {
@@ -192,7 +192,7 @@
         if (*alive)
         {
             m_scheduled = false;
-            work();
+            run_round();
         }
     };
     auto const now = m_parts.clock->now();
@@ -206,7 +206,7 @@
     m_round.async_wait([round](auto) { round(); });
 }
 
-void cell_owner::work()
+void cell_owner::run_round()
 {
     if (m_lost)
     {
@@ -218,13 +218,13 @@
     {
         m_decisions.decide(now);
     }
-    carry_out(m_decisions.take_orders());
+    send_orders(m_decisions.take_orders());
     commit();
-    hold_all();
+    send_due_holds();
     m_pace.ended(m_parts.clock->now());
     if (!m_decisions.round_complete())
     {
-        soon();
+        schedule_round();
     }
 }
 
@@ -263,9 +263,9 @@
             auto const now = m_parts.clock->now();
             m_decisions.set_advice_machines(m_parts.advice->machines());
             m_decisions.tick(wall_ms(*m_parts.clock), now);
-            if (takes_nothing())
+            if (store_blocked())
             {
-                give_up_batch();
+                take_back_batch();
                 refuse_unsent();
             }
             expire_waiting();
@@ -277,7 +277,7 @@
                     return;
                 }
             }
-            soon();
+            schedule_round();
             every_tick();
         });
 }
@@ -287,10 +287,10 @@
     m_releasing = true;
     m_release_by = m_parts.clock->now() + limit;
     m_released = std::move(done);
-    soon();
+    schedule_round();
 }
 
-void cell_owner::deposed(char const* why)
+void cell_owner::ownership_lost(char const* why)
 {
     if (std::exchange(m_lost, true))
     {
@@ -298,7 +298,7 @@
     }
     // The handler ends this object, so it runs when nothing of it does.
     boost::asio::post(*m_parts.loop,
-                      [alive = m_alive, handler = m_deposed, why]
+                      [alive = m_alive, handler = m_on_ownership_lost, why]
                       {
                           if (*alive)
                           {
--- a/libraries/cell/cell_owner.hpp
+++ b/libraries/cell/cell_owner.hpp
@@ -1,14 +1,14 @@
 #pragma once
 
-#include <cell/advice_desk.hpp>
+#include <cell/advice_dispatcher.hpp>
 #include <cell/batch_waiters.hpp>
 #include <cell/documents.hpp>
 #include <cell/hold_list.hpp>
 #include <cell/instance_link.hpp>
 #include <cell/job_call.hpp>
 #include <cell/log_follower.hpp>
+#include <cell/reliable_append.hpp>
 #include <cell/round_pace.hpp>
-#include <cell/sure_append.hpp>
 #include <scheduler/scheduler.hpp>
 
 #include <boost/asio/io_context.hpp>
@@ -33,7 +33,7 @@
     keyed_log* cell{nullptr};
     keyed_log* instances{nullptr};
     instance_link* orders{nullptr};
-    advice_desk* advice{nullptr};
+    advice_dispatcher* advice{nullptr};
     documents const* reader{nullptr};
     scheduler::decision_log* log{nullptr};
     store_latency* latency{nullptr};
@@ -46,7 +46,7 @@
 {
 public:
     /// Called at most once, when another owner has been seen.
-    using deposed_handler = std::function<void(char const* why)>;
+    using ownership_lost_handler = std::function<void(char const* why)>;
 
     /// `token` is the claim's; `next` the offset that follows it; `records`
     /// the newest ones before the claim.
@@ -56,7 +56,7 @@
                std::map<std::string, std::string> const& records,
                std::uint64_t token,
                std::uint64_t next,
-               deposed_handler deposed);
+               ownership_lost_handler on_ownership_lost);
     cell_owner(cell_owner const&) = delete;
     cell_owner& operator=(cell_owner const&) = delete;
 
@@ -80,18 +80,19 @@
     /// How long the store has not taken what should be stored.
     [[nodiscard]] base::duration store_stuck() const
     {
-        return m_wanting_since ? m_parts.clock->now() - *m_wanting_since
-                               : base::duration{0};
+        return m_store_blocked_since
+                   ? m_parts.clock->now() - *m_store_blocked_since
+                   : base::duration{0};
     }
 
     /// The store has taken nothing for longer than it takes when it is merely
     /// slow: new work would only wait.
-    [[nodiscard]] bool takes_nothing() const;
+    [[nodiscard]] bool store_blocked() const;
 
     /// The store answers, and takes nothing from this process.
     [[nodiscard]] bool store_refuses() const noexcept
     {
-        return m_given_up || m_append.refused();
+        return m_batch_taken_back || m_append.refused();
     }
 
     [[nodiscard]] scheduler::scheduler const& decisions() const noexcept
@@ -104,34 +105,35 @@
     void cancel(job_call const& it, job_answer_handler done);
     void wait_for_batch(job_call const& of, job_answer_handler done);
     void refuse_unsent();
-    void give_up_batch();
+    void take_back_batch();
     void log_refusal(workload::job_id it) const;
     [[nodiscard]] bool lingers(base::instant now) const;
-    void soon();
-    void work();
+    void schedule_round();
+    void run_round();
     void commit();
     void stored();
-    void carry_out(std::vector<scheduler::order> const& orders);
+    void send_orders(std::vector<scheduler::order> const& orders);
     void send(scheduler::start_order const& it);
     void send(scheduler::stop_order const& it);
     void send(scheduler::advice_order const& it);
-    void hold_all();
-    void hold(std::string const& id);
+    void send_due_holds();
+    void send_hold(std::string const& id);
     [[nodiscard]] hold_list::standing standing_of(std::string const& id) const;
-    void held(std::string const& id, hold_result it, base::instant sent_at);
+    void
+    hold_answered(std::string const& id, hold_result it, base::instant sent_at);
     [[nodiscard]] order_target target(std::string const& id) const;
     void instance_changed(std::string const& key, std::string const& value);
     void every_tick();
-    static void tell_accepted(batch_waiters::list const& whom);
+    static void answer_accepted(batch_waiters::list const& whom);
     void expire_waiting();
-    void deposed(char const* why);
+    void ownership_lost(char const* why);
 
     owner_parts m_parts;
     scheduler::scheduler m_decisions;
     std::uint64_t m_token;
     std::uint64_t m_next;
-    deposed_handler m_deposed;
-    sure_append m_append;
+    ownership_lost_handler m_on_ownership_lost;
+    reliable_append m_append;
     log_follower m_instances;
     boost::asio::steady_timer m_tick;
     boost::asio::steady_timer m_round;
@@ -143,9 +145,9 @@
     /// When the open batch got its first content.
     std::optional<base::instant> m_open_since;
     /// Since when something should be stored and is not.
-    std::optional<base::instant> m_wanting_since;
+    std::optional<base::instant> m_store_blocked_since;
     /// A batch was taken back, and none has been stored since.
-    bool m_given_up{false};
+    bool m_batch_taken_back{false};
     /// The store is left alone until then.
     base::instant m_next_append{};
     batch_waiters m_waiting;
--- a/libraries/cell/cell_owner_batch.cpp
+++ b/libraries/cell/cell_owner_batch.cpp
@@ -33,7 +33,7 @@
     auto const submitted =
         of.kind == job_call_kind::submit ? of.job : workload::job_id{};
     m_waiting.add({std::move(done), submitted, until});
-    soon();
+    schedule_round();
 }
 
 /// While the store takes nothing, those whose submission has not been sent to
@@ -45,7 +45,7 @@
     for (auto const& it : refused)
     {
         log_refusal(it.submitted);
-        it.done({job_answer_kind::refused, {}, 0, come_back_after});
+        it.done({job_answer_kind::refused, {}, 0, default_retry_after});
     }
 }
 
@@ -60,15 +60,15 @@
 
 /// A store that refuses has surely not stored the batch: what is in it goes
 /// back, so that its clients can be told.
-void cell_owner::give_up_batch()
+void cell_owner::take_back_batch()
 {
     if (!m_append.take_back())
     {
         return;
     }
-    m_given_up = true;
+    m_batch_taken_back = true;
     m_decisions.batch_not_stored();
-    m_waiting.batch_returned();
+    m_waiting.batch_not_stored();
     m_next_append = m_parts.clock->now() + append_pause;
 }
 
@@ -108,7 +108,7 @@
     else
     {
         // A client may wait for a batch that is already stored.
-        tell_accepted(m_waiting.nothing_to_store());
+        answer_accepted(m_waiting.nothing_to_store());
         return;
     }
     m_waiting.batch_sent();
@@ -120,15 +120,16 @@
         return;
     }
     auto const n = records.size();
-    m_wanting_since = m_wanting_since.value_or(now);
+    m_store_blocked_since = m_store_blocked_since.value_or(now);
     m_append.begin(m_next, std::move(records), base::duration{0},
-                   [this, n](sure_end end)
+                   [this, n](reliable_append_outcome end)
                    {
-                       if (end != sure_end::stored)
+                       if (end != reliable_append_outcome::stored)
                        {
-                           deposed(end == sure_end::overtaken
-                                       ? "log_overtaken"
-                                       : "log_history_lost");
+                           ownership_lost(
+                               end == reliable_append_outcome::overtaken
+                                   ? "log_overtaken"
+                                   : "log_history_lost");
                            return;
                        }
                        m_next += n;
@@ -140,14 +141,14 @@
 void cell_owner::stored()
 {
     m_batches_stored = m_batches_taken;
-    m_wanting_since.reset();
-    m_given_up = false;
-    tell_accepted(m_waiting.batch_stored());
-    carry_out(m_decisions.take_orders());
-    soon();
+    m_store_blocked_since.reset();
+    m_batch_taken_back = false;
+    answer_accepted(m_waiting.batch_stored());
+    send_orders(m_decisions.take_orders());
+    schedule_round();
 }
 
-void cell_owner::tell_accepted(batch_waiters::list const& whom)
+void cell_owner::answer_accepted(batch_waiters::list const& whom)
 {
     for (auto const& it : whom)
     {
--- a/libraries/cell/cell_owner_orders.cpp
+++ b/libraries/cell/cell_owner_orders.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-void cell_owner::carry_out(std::vector<scheduler::order> const& orders)
+void cell_owner::send_orders(std::vector<scheduler::order> const& orders)
 {
     for (auto const& it : orders)
     {
@@ -56,12 +56,12 @@
             }
             if (result.answer == scheduler::start_answer::fenced)
             {
-                deposed("start_fenced");
+                ownership_lost("start_fenced");
                 return;
             }
             m_decisions.start_answered(id, name, result.answer, result.clock_ms,
                                        m_parts.clock->now());
-            soon();
+            schedule_round();
         });
 }
 
@@ -77,7 +77,7 @@
                              }
                              if (end == order_end::fenced)
                              {
-                                 deposed("stop_fenced");
+                                 ownership_lost("stop_fenced");
                                  return;
                              }
                              auto const now = m_parts.clock->now();
@@ -87,7 +87,7 @@
                              }
                              m_decisions.stop_answered(
                                  id, name, end == order_end::done, now);
-                             soon();
+                             schedule_round();
                          });
 }
 
@@ -112,7 +112,7 @@
                             {
                                 m_decisions.advice_failed(step, asked, now);
                             }
-                            soon();
+                            schedule_round();
                         });
 }
 
@@ -135,22 +135,22 @@
                                           : hold_list::standing::holds_work;
 }
 
-void cell_owner::hold_all()
+void cell_owner::send_due_holds()
 {
     auto const due =
         m_holds.take_due(m_parts.clock->now(), m_batches_stored, most_holds,
                          [this](auto const& it) { return standing_of(it); });
     for (auto const& id : due)
     {
-        hold(id);
+        send_hold(id);
     }
     if (due.size() == most_holds)
     {
-        soon();
+        schedule_round();
     }
 }
 
-void cell_owner::hold(std::string const& id)
+void cell_owner::send_hold(std::string const& id)
 {
     auto const now = m_parts.clock->now();
     auto const order = m_decisions.next_hold(id, now);
@@ -159,14 +159,14 @@
                          {
                              if (*alive && !m_lost)
                              {
-                                 held(id, std::move(it), now);
+                                 hold_answered(id, std::move(it), now);
                              }
                          });
 }
 
-void cell_owner::held(std::string const& id,
-                      hold_result it,
-                      base::instant sent_at)
+void cell_owner::hold_answered(std::string const& id,
+                               hold_result it,
+                               base::instant sent_at)
 {
     auto const now = m_parts.clock->now();
     switch (it.outcome)
@@ -181,7 +181,7 @@
                          m_decisions.hold_interval(id));
         break;
     case order_end::fenced:
-        deposed("hold_fenced");
+        ownership_lost("hold_fenced");
         return;
     case order_end::other_incarnation:
         m_decisions.instance_replaced(id, now);
@@ -193,7 +193,7 @@
         m_holds.failed(id, now);
         break;
     }
-    soon();
+    schedule_round();
 }
 
 } // namespace berylhill::cell
--- a/libraries/cell/packed_text.cpp
+++ b/libraries/cell/compressed_text.cpp
@@ -1,4 +1,4 @@
-#include <cell/packed_text.hpp>
+#include <cell/compressed_text.hpp>
 
 #include <zlib.h>
 
@@ -25,7 +25,7 @@
 
 } // namespace
 
-std::string packed(std::string_view text)
+std::string compressed(std::string_view text)
 {
     auto size = ::compressBound(static_cast<uLong>(text.size()));
     std::string out(size, '\0');
@@ -37,7 +37,8 @@
     return out;
 }
 
-base::result<std::string> unpacked(std::string_view it, std::size_t most_bytes)
+base::result<std::string> decompressed(std::string_view it,
+                                       std::size_t most_bytes)
 {
     z_stream stream{};
     if (::inflateInit(&stream) != Z_OK)
--- a/libraries/cell/packed_text.hpp
+++ b/libraries/cell/compressed_text.hpp
@@ -10,11 +10,11 @@
 {
 
 /// The text in fewer bytes, in zlib's format. Pure; thread-safe.
-[[nodiscard]] std::string packed(std::string_view text);
+[[nodiscard]] std::string compressed(std::string_view text);
 
 /// The text that was packed. Fails with `invalid` where it isn't such a text
 /// or has more than `most_bytes`. Pure; thread-safe.
-[[nodiscard]] base::result<std::string> unpacked(std::string_view it,
-                                                 std::size_t most_bytes);
+[[nodiscard]] base::result<std::string> decompressed(std::string_view it,
+                                                     std::size_t most_bytes);
 
 } // namespace berylhill::cell
--- a/libraries/cell/configuration_spread.cpp
+++ b/libraries/cell/configuration_spread.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 configuration_spread::configuration_spread()
-    : m_fetch_patience{least_fetch_patience}
+    : m_fetch_timeout{least_fetch_patience}
 {
 }
 
@@ -33,21 +33,21 @@
     m_confirmed_at = std::max(m_confirmed_at.value_or(at), at);
 }
 
-bool configuration_spread::heard(configuration_age const& it,
-                                 base::instant asked_at,
-                                 std::int64_t own,
-                                 base::instant now)
+bool configuration_spread::on_version_heard(configuration_age const& it,
+                                            base::instant asked_at,
+                                            std::int64_t own,
+                                            base::instant now)
 {
     if (it.version == own && own != 0)
     {
         confirm(asked_at - it.age);
     }
-    return heard(it.version, own, now);
+    return on_version_heard(it.version, own, now);
 }
 
-bool configuration_spread::heard(std::int64_t version,
-                                 std::int64_t own,
-                                 base::instant now)
+bool configuration_spread::on_version_heard(std::int64_t version,
+                                            std::int64_t own,
+                                            base::instant now)
 {
     if (version <= own)
     {
@@ -64,20 +64,20 @@
     return true;
 }
 
-void configuration_spread::fetched(fetch_end it)
+void configuration_spread::on_fetch_ended(fetch_end it)
 {
     m_fetching = false;
-    if (it == fetch_end::came)
+    if (it == fetch_end::received)
     {
-        m_fetch_patience = least_fetch_patience;
+        m_fetch_timeout = least_fetch_patience;
     }
     if (it == fetch_end::failed)
     {
-        m_fetch_patience = std::min(2 * m_fetch_patience, most_fetch_patience);
+        m_fetch_timeout = std::min(2 * m_fetch_timeout, most_fetch_patience);
     }
 }
 
-void configuration_spread::has(std::int64_t version)
+void configuration_spread::on_version_installed(std::int64_t version)
 {
     if (version >= m_newest)
     {
--- a/libraries/cell/configuration_spread.hpp
+++ b/libraries/cell/configuration_spread.hpp
@@ -10,9 +10,9 @@
 
 enum class fetch_end : std::uint8_t
 {
-    came,
+    received,
     /// It was not reached, or has copies enough under way.
-    turned_away,
+    rejected,
     /// No answer, or none that can be read.
     failed,
 };
@@ -33,7 +33,7 @@
 
     /// A read reached the end of the operators' log: what this process has was
     /// the newest then.
-    void read_store(base::instant as_of)
+    void on_store_read(base::instant as_of)
     {
         confirm(as_of);
     }
@@ -42,26 +42,26 @@
     /// fetch it there now. Precondition: `own` is the version that this
     /// process has.
     [[nodiscard]] bool
-    heard(std::int64_t version, std::int64_t own, base::instant now);
+    on_version_heard(std::int64_t version, std::int64_t own, base::instant now);
 
     /// As above, by its answer to a question that was sent at `asked_at`: what
     /// it says held then, at the earliest.
-    [[nodiscard]] bool heard(configuration_age const& it,
-                             base::instant asked_at,
-                             std::int64_t own,
-                             base::instant now);
+    [[nodiscard]] bool on_version_heard(configuration_age const& it,
+                                        base::instant asked_at,
+                                        std::int64_t own,
+                                        base::instant now);
 
     /// A fetch has ended.
-    void fetched(fetch_end it);
+    void on_fetch_ended(fetch_end it);
 
     /// Until a fetch has to have begun to be answered.
-    [[nodiscard]] base::duration fetch_patience() const noexcept
+    [[nodiscard]] base::duration fetch_timeout() const noexcept
     {
-        return m_fetch_patience;
+        return m_fetch_timeout;
     }
 
     /// This process has this version now.
-    void has(std::int64_t version);
+    void on_version_installed(std::int64_t version);
 
     /// The newest version that another process has named.
     [[nodiscard]] std::int64_t newest() const noexcept
@@ -83,7 +83,7 @@
     std::optional<base::instant> m_behind_since;
     std::int64_t m_newest{0};
     bool m_fetching{false};
-    base::duration m_fetch_patience;
+    base::duration m_fetch_timeout;
 };
 
 } // namespace berylhill::cell
--- a/libraries/cell/job_call.hpp
+++ b/libraries/cell/job_call.hpp
@@ -80,7 +80,7 @@
 
 /// When a client that is refused should come back: about as long as a change
 /// of owner, or a store that was slow for a moment, takes.
-inline constexpr base::duration come_back_after =
+inline constexpr base::duration default_retry_after =
     std::chrono::milliseconds{1'000};
 
 /// What a client is told. A value.
--- a/libraries/cell/log_follower.cpp
+++ b/libraries/cell/log_follower.cpp
@@ -39,7 +39,7 @@
                            base::clock const& clock,
                            keyed_log& log,
                            std::string name,
-                           follow_pace pace)
+                           follow_options pace)
     : m_loop{loop}
     , m_clock{clock}
     , m_log{log}
@@ -202,7 +202,8 @@
         after(m_pace.retry, [this] { read_tail(m_pace.wait); });
         if (done)
         {
-            m_catch_up_limit = std::min(2 * m_catch_up_limit, longest_begin);
+            m_catch_up_limit =
+                std::min(2 * m_catch_up_limit, max_response_delay);
             done(false);
         }
         return;
--- a/libraries/cell/log_follower.hpp
+++ b/libraries/cell/log_follower.hpp
@@ -2,7 +2,7 @@
 
 #include <base/time.hpp>
 #include <cell/keyed_log.hpp>
-#include <cell/sure_read.hpp>
+#include <cell/reliable_read.hpp>
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -18,7 +18,7 @@
 {
 
 /// How a log is followed. A value.
-struct follow_pace
+struct follow_options
 {
     /// How long a read waits at the store for a record.
     base::duration wait{std::chrono::milliseconds{1'000}};
@@ -52,7 +52,7 @@
                  base::clock const& clock,
                  keyed_log& log,
                  std::string name,
-                 follow_pace pace);
+                 follow_options pace);
     log_follower(log_follower const&) = delete;
     log_follower& operator=(log_follower const&) = delete;
     ~log_follower();
@@ -120,7 +120,8 @@
     void read_newest(std::string const& after);
     void newest_read(newest_result it);
     void finish_newest();
-    void read_tail(base::duration wait, base::duration limit = longest_begin);
+    void read_tail(base::duration wait,
+                   base::duration limit = max_response_delay);
     void tail_read(reliable_read_result it);
     void read_larger();
     void end_reached(base::instant as_of);
@@ -133,9 +134,9 @@
     base::clock const& m_clock;
     keyed_log& m_log;
     std::string m_name;
-    follow_pace m_pace;
+    follow_options m_pace;
     boost::asio::steady_timer m_timer;
-    sure_read m_read;
+    reliable_read m_read;
     change_handler m_on_change;
     caught_up_handler m_on_caught_up;
     end_reached_handler m_on_end_reached;
--- a/libraries/cell/node.cpp
+++ b/libraries/cell/node.cpp
@@ -34,7 +34,7 @@
 
 /// The configuration has to be in force within seconds, also when a
 /// connection to the store goes silent.
-constexpr follow_pace operators_pace{
+constexpr follow_options operators_pace{
     std::chrono::milliseconds{700}, std::chrono::milliseconds{20},
     std::chrono::milliseconds{350}, std::chrono::milliseconds{120}};
 
@@ -159,12 +159,12 @@
     , m_log_timer{m_loop}
     , m_load_timer{m_loop}
     , m_lag{m_loop, m_clock}
-    , m_copies{budget_of_copies(m_settings.limits.link_mbps)}
+    , m_copy_budget{budget_of_copies(m_settings.limits.link_mbps)}
 {
     m_operators.on_change([this](auto const& key, auto const& value)
                           { configuration_changed(key, value, "store"); });
     m_operators.on_end_reached([this](base::instant as_of)
-                               { m_spread.read_store(as_of); });
+                               { m_propagation.on_store_read(as_of); });
 }
 
 node::~node() = default;
@@ -230,7 +230,7 @@
                                    &m_latency};
     m_owner = std::make_unique<cell_owner>(
         parts, policy(), m_configuration, records, token, next,
-        [this](char const* why) { m_ownership.deposed(why); });
+        [this](char const* why) { m_ownership.lose_ownership(why); });
     m_peer_service.wake();
 }
 
@@ -291,7 +291,7 @@
     }
     m_settings.bounds = read.bounds;
     m_settings.limits = read.limits;
-    m_copies = budget_of_copies(m_settings.limits.link_mbps);
+    m_copy_budget = budget_of_copies(m_settings.limits.link_mbps);
     apply_limits();
     base::log(base::log_level::info, "settings_reloaded", {});
 }
--- a/libraries/cell/node.hpp
+++ b/libraries/cell/node.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <cell/adapter.hpp>
-#include <cell/advice_desk.hpp>
+#include <cell/advice_dispatcher.hpp>
 #include <cell/byte_budget.hpp>
 #include <cell/call_router.hpp>
 #include <cell/cell_owner.hpp>
@@ -56,7 +56,8 @@
     void heard_of(std::int64_t version,
                   network::socket_address const& from) override;
     [[nodiscard]] configuration_record configuration() const override;
-    [[nodiscard]] std::optional<std::string> packed_configuration() override;
+    [[nodiscard]] std::optional<std::string>
+    compressed_configuration() override;
     [[nodiscard]] bool owns() const override;
     void call_owner(job_call const& it, job_answer_handler done) override;
     void advise(advice_question const& it, advice_handler done) override;
@@ -110,7 +111,7 @@
     peer_client m_peers;
     ownership m_ownership;
     peer_service m_peer_service;
-    advice_desk m_advice;
+    advice_dispatcher m_advice;
     call_router m_router;
     log_follower m_operators;
     network::http_server m_callers;
@@ -127,9 +128,9 @@
     /// As it was read, for processes that the store turns away.
     configuration_record m_configuration_record;
     /// The same, packed; empty until it is asked for.
-    std::string m_packed_configuration;
-    byte_budget m_copies;
-    configuration_spread m_spread;
+    std::string m_compressed_configuration;
+    byte_budget m_copy_budget;
+    configuration_spread m_propagation;
     std::unique_ptr<cell_owner> m_owner;
     base::instant m_owns_since{};
     base::instant m_stop_at{};
--- a/libraries/cell/node_answers.cpp
+++ b/libraries/cell/node_answers.cpp
@@ -160,7 +160,7 @@
                {"status", it.response.status},
                {"key_digest", it.key_digest},
                {"version", m_configuration.version},
-               {"age_s", base::seconds_of(m_spread.age(m_clock.now()))}});
+               {"age_s", base::seconds_of(m_propagation.age(m_clock.now()))}});
     answer(std::move(it.response));
 }
 
@@ -168,13 +168,13 @@
 /// last known to be the newest, and has a certain time to be in force.
 bool node::sure_of_configuration() const
 {
-    if (m_spread.newest() > m_configuration.version)
+    if (m_propagation.newest() > m_configuration.version)
     {
         return false;
     }
     auto const demanded =
         std::chrono::milliseconds{m_settings.bounds.configuration_ms};
-    return m_spread.age(m_clock.now()) < demanded - confirmation_delay;
+    return m_propagation.age(m_clock.now()) < demanded - confirmation_delay;
 }
 
 /// A newer version is known for so long that it has to be in force now, and
@@ -183,7 +183,7 @@
 {
     auto const demanded =
         std::chrono::milliseconds{m_settings.bounds.configuration_ms};
-    return m_spread.behind(m_clock.now()) > demanded - hearing_delay;
+    return m_propagation.behind(m_clock.now()) > demanded - hearing_delay;
 }
 
 /// Says of a call that is served by which version, where that may not be the
@@ -199,8 +199,8 @@
                {"call", name_of(it.kind)},
                {"queue", it.queue},
                {"version", m_configuration.version},
-               {"newest", m_spread.newest()},
-               {"age_s", base::seconds_of(m_spread.age(m_clock.now()))}});
+               {"newest", m_propagation.newest()},
+               {"age_s", base::seconds_of(m_propagation.age(m_clock.now()))}});
 }
 
 void node::note_answer(job_call const& call,
@@ -238,7 +238,7 @@
         base::log(base::log_level::info, "readiness_changed",
                   {{"ready", now ? 1 : 0},
                    {"version", m_configuration.version},
-                   {"newest", m_spread.newest()},
+                   {"newest", m_propagation.newest()},
                    {"overdue", configuration_overdue() ? 1 : 0},
                    {"owner_heard", m_ownership.owner_heard() ? 1 : 0}});
     }
@@ -253,8 +253,8 @@
     now.token = m_ownership.owner().token;
     now.configuration_version = m_configuration.version;
     now.newest_configuration =
-        std::max(m_spread.newest(), m_configuration.version);
-    now.configuration_age = m_spread.age(m_clock.now());
+        std::max(m_propagation.newest(), m_configuration.version);
+    now.configuration_age = m_propagation.age(m_clock.now());
     now.connections = m_callers.connections();
     now.order_connections_opened = m_order_client.connections_opened();
     if (m_owner)
--- a/libraries/cell/node_configuration.cpp
+++ b/libraries/cell/node_configuration.cpp
@@ -1,7 +1,7 @@
 #include <cell/node.hpp>
 
 #include <base/log.hpp>
-#include <cell/packed_text.hpp>
+#include <cell/compressed_text.hpp>
 #include <cell/peer_messages.hpp>
 
 namespace berylhill::cell
@@ -17,9 +17,9 @@
 {
     if (it.answer)
     {
-        return fetch_end::came;
+        return fetch_end::received;
     }
-    return it.end == network::call_end::not_sent ? fetch_end::turned_away
+    return it.end == network::call_end::not_sent ? fetch_end::rejected
                                                  : fetch_end::failed;
 }
 
@@ -49,16 +49,17 @@
     }
     m_configuration = *read.value();
     m_configuration_record = {key, value, 0};
-    m_packed_configuration.clear();
+    m_compressed_configuration.clear();
     report_unclear_accounts();
-    base::log(base::log_level::info, "configuration_in_force",
-              {{"version", m_configuration.version},
-               {"queues", std::uint64_t{m_configuration.queues.size()}},
-               {"source", source},
-               {"bytes", std::uint64_t{value.size()}},
-               {"decoded_s", base::seconds_of(m_clock.now() - begun)},
-               {"behind_s", base::seconds_of(m_spread.behind(m_clock.now()))}});
-    m_spread.has(m_configuration.version);
+    base::log(
+        base::log_level::info, "configuration_in_force",
+        {{"version", m_configuration.version},
+         {"queues", std::uint64_t{m_configuration.queues.size()}},
+         {"source", source},
+         {"bytes", std::uint64_t{value.size()}},
+         {"decoded_s", base::seconds_of(m_clock.now() - begun)},
+         {"behind_s", base::seconds_of(m_propagation.behind(m_clock.now()))}});
+    m_propagation.on_version_installed(m_configuration.version);
     apply_limits();
     if (m_owner)
     {
@@ -83,7 +84,7 @@
 
 configuration_age node::configuration_here() const
 {
-    return {m_configuration.version, m_spread.age(m_clock.now())};
+    return {m_configuration.version, m_propagation.age(m_clock.now())};
 }
 
 configuration_record node::configuration() const
@@ -93,26 +94,27 @@
     return out;
 }
 
-std::optional<std::string> node::packed_configuration()
+std::optional<std::string> node::compressed_configuration()
 {
-    if (m_packed_configuration.empty())
+    if (m_compressed_configuration.empty())
     {
-        m_packed_configuration = packed(text_of(configuration()));
+        m_compressed_configuration = compressed(text_of(configuration()));
     }
-    if (!m_copies.take(m_packed_configuration.size(), m_clock.now()))
+    if (!m_copy_budget.try_take(m_compressed_configuration.size(),
+                                m_clock.now()))
     {
         return std::nullopt;
     }
-    return m_packed_configuration;
+    return m_compressed_configuration;
 }
 
 void node::heard_of(configuration_age const& it,
                     base::instant asked_at,
                     network::socket_address const& from)
 {
-    auto const known = m_spread.newest();
-    auto const fetches =
-        m_spread.heard(it, asked_at, m_configuration.version, m_clock.now());
+    auto const known = m_propagation.newest();
+    auto const fetches = m_propagation.on_version_heard(
+        it, asked_at, m_configuration.version, m_clock.now());
     note_newest(known, from);
     if (fetches)
     {
@@ -122,9 +124,9 @@
 
 void node::heard_of(std::int64_t version, network::socket_address const& from)
 {
-    auto const known = m_spread.newest();
-    auto const fetches =
-        m_spread.heard(version, m_configuration.version, m_clock.now());
+    auto const known = m_propagation.newest();
+    auto const fetches = m_propagation.on_version_heard(
+        version, m_configuration.version, m_clock.now());
     note_newest(known, from);
     if (fetches)
     {
@@ -135,32 +137,31 @@
 /// Says that another process has named a newer version than was known before.
 void node::note_newest(std::int64_t known, network::socket_address const& from)
 {
-    if (m_spread.newest() == known)
+    if (m_propagation.newest() == known)
     {
         return;
     }
     base::log(base::log_level::info, "configuration_behind",
               {{"version", m_configuration.version},
-               {"newest", m_spread.newest()},
+               {"newest", m_propagation.newest()},
                {"peer", text_of(from)},
-               {"age_s", base::seconds_of(m_spread.age(m_clock.now()))}});
+               {"age_s", base::seconds_of(m_propagation.age(m_clock.now()))}});
 }
 
 void node::fetch_configuration(network::socket_address const& from)
 {
     m_peers.configuration(
-        from, {m_spread.fetch_patience(), copy_stall},
+        from, {m_propagation.fetch_timeout(), copy_stall},
         [this, from](peer_result<configuration_record> const& it)
         {
             auto const end = end_of(it);
-            m_spread.fetched(end);
-            if (end != fetch_end::came)
+            m_propagation.on_fetch_ended(end);
+            if (end != fetch_end::received)
             {
-                base::log(
-                    base::log_level::info, "configuration_unfetched",
-                    {{"peer", text_of(from)},
-                     {"turned_away", end == fetch_end::turned_away ? 1 : 0},
-                     {"received", it.received}});
+                base::log(base::log_level::info, "configuration_unfetched",
+                          {{"peer", text_of(from)},
+                           {"turned_away", end == fetch_end::rejected ? 1 : 0},
+                           {"received", it.received}});
                 return;
             }
             configuration_changed(it.answer->key, it.answer->value, "peer");
--- a/libraries/cell/ownership.cpp
+++ b/libraries/cell/ownership.cpp
@@ -12,7 +12,7 @@
 
 /// Standbys read the cell's log this often. They need it when they claim,
 /// and then read what is missing.
-constexpr follow_pace standby_pace{
+constexpr follow_options standby_pace{
     std::chrono::milliseconds{0}, std::chrono::milliseconds{500},
     std::chrono::milliseconds{400}, std::chrono::milliseconds{250}};
 
@@ -34,7 +34,7 @@
     , m_peer_client{peers}
     , m_self{std::move(self)}
     , m_incarnation{std::move(incarnation)}
-    , m_told{told}
+    , m_listener{told}
     , m_lookup{cell}
     , m_follower{loop, clock, cell, "cell", standby_pace}
     , m_append{loop, clock, cell, latency}
@@ -106,7 +106,7 @@
     m_owner = it;
     m_heard = false;
     m_failures = 0;
-    m_alone = 0;
+    m_rounds_alone = 0;
     base::log(base::log_level::info, "owner_seen",
               {{"owner", it.instance}, {"token", it.token}});
     if (m_state == ownership_state::owning ||
@@ -127,12 +127,12 @@
     }
     if (m_state == ownership_state::owning)
     {
-        deposed("announced");
+        lose_ownership("announced");
     }
     adopt(it);
 }
 
-void ownership::deposed(char const* why)
+void ownership::lose_ownership(char const* why)
 {
     if (m_state != ownership_state::owning)
     {
@@ -141,7 +141,7 @@
     base::log(base::log_level::warning, "right_lost",
               {{"token", m_owner.token}, {"why", why}});
     find_owner();
-    m_told.ended();
+    m_listener.ended();
 }
 
 void ownership::yield(base::duration rest)
--- a/libraries/cell/ownership.hpp
+++ b/libraries/cell/ownership.hpp
@@ -5,8 +5,8 @@
 #include <cell/owner_lookup.hpp>
 #include <cell/peer_client.hpp>
 #include <cell/peer_list.hpp>
+#include <cell/reliable_append.hpp>
 #include <cell/replica.hpp>
-#include <cell/sure_append.hpp>
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -99,7 +99,7 @@
     void start();
 
     /// The right was lost to another owner.
-    void deposed(char const* why);
+    void lose_ownership(char const* why);
 
     /// Another process tells who owns.
     void heard_of(owner_view const& it);
@@ -150,26 +150,28 @@
     void suspect_alone();
     [[nodiscard]] base::duration probe_limit() const;
     void suspected();
-    void look_again();
+    void probe_owner_again();
     void claim(char const* why);
     void look_before_claim();
     void claim_now();
-    void claimed(sure_end it, owner_view const& mine, std::uint64_t at);
+    void claimed(reliable_append_outcome it,
+                 owner_view const& mine,
+                 std::uint64_t at);
     void again(base::duration pause, std::function<void()> what);
-    [[nodiscard]] std::int64_t turn() const;
-    [[nodiscard]] base::duration pace() const;
+    [[nodiscard]] std::int64_t succession_rank() const;
+    [[nodiscard]] base::duration watch_interval() const;
     [[nodiscard]] base::duration claim_delay() const;
-    void follow_or_not();
+    void update_following();
 
     boost::asio::io_context& m_loop;
     base::clock const& m_clock;
     peer_client& m_peer_client;
     peer m_self;
     std::string m_incarnation;
-    listener& m_told;
+    listener& m_listener;
     owner_lookup m_lookup;
     log_follower m_follower;
-    sure_append m_append;
+    reliable_append m_append;
     boost::asio::steady_timer m_timer;
     /// Bumped on each change of state: what was under way before is ignored.
     std::shared_ptr<std::uint64_t> m_generation{
@@ -185,10 +187,10 @@
     base::instant m_claim_began{};
     std::uint32_t m_failures{0};
     /// Rounds in which none of the others answered.
-    std::uint32_t m_isolated{0};
+    std::uint32_t m_rounds_isolated{0};
     /// Rounds in which it knew no others to ask.
-    std::uint32_t m_alone{0};
-    std::size_t m_open_questions{0};
+    std::uint32_t m_rounds_alone{0};
+    std::size_t m_open_probes{0};
     bool m_others_hear{false};
     bool m_others_answer{false};
 };
--- a/libraries/cell/ownership_claim.cpp
+++ b/libraries/cell/ownership_claim.cpp
@@ -36,7 +36,7 @@
 
 /// How many of the others come before this process when the owner is lost, in
 /// an order that all agree on.
-std::int64_t ownership::turn() const
+std::int64_t ownership::succession_rank() const
 {
     auto const& named = m_peers.peers;
     auto const before = std::ranges::count_if(
@@ -56,8 +56,8 @@
 
 base::duration ownership::claim_delay() const
 {
-    auto const before = turn();
-    auto const early = std::min(before, standbys);
+    auto const before = succession_rank();
+    auto const early = std::min(before, standby_count);
     auto const out = claim_step * early + late_claim_step * (before - early);
     if (m_peers.peers.empty())
     {
@@ -125,7 +125,7 @@
     {
         if (m_clock.now() - m_claim_began > claim_limit)
         {
-            look_again();
+            probe_owner_again();
             return;
         }
         again(claim_step, [this] { claim_now(); });
@@ -141,7 +141,7 @@
             }
             if (!up_to_date)
             {
-                again(claim_retry, [this] { look_again(); });
+                again(claim_retry, [this] { probe_owner_again(); });
                 return;
             }
             if (m_append.busy())
@@ -154,20 +154,21 @@
             auto const claimant = owner_view{at + 1, m_self.instance,
                                              m_self.address, m_incarnation};
             m_append.begin(at, {{owner_key, text_of(claimant)}}, claim_limit,
-                           [this, claimant, at](sure_end it)
+                           [this, claimant, at](reliable_append_outcome it)
                            { claimed(it, claimant, at); });
         });
 }
 
-void ownership::claimed(sure_end it,
+void ownership::claimed(reliable_append_outcome it,
                         owner_view const& claimant,
                         std::uint64_t at)
 {
-    if (it != sure_end::stored)
+    if (it != reliable_append_outcome::stored)
     {
-        base::log(base::log_level::info, "claim_failed",
-                  {{"token", claimant.token},
-                   {"overtaken", it == sure_end::overtaken ? 1 : 0}});
+        base::log(
+            base::log_level::info, "claim_failed",
+            {{"token", claimant.token},
+             {"overtaken", it == reliable_append_outcome::overtaken ? 1 : 0}});
         if (m_state == ownership_state::claiming)
         {
             find_owner();
@@ -183,14 +184,14 @@
     ++*m_generation;
     m_state = ownership_state::owning;
     auto const former = std::exchange(m_owner, claimant);
-    m_isolated = 0;
-    m_alone = 0;
+    m_rounds_isolated = 0;
+    m_rounds_alone = 0;
     m_replica.set(owner_key, text_of(claimant));
     m_follower.stop();
     base::log(base::log_level::info, "claim_won",
               {{"token", claimant.token},
                {"records", std::uint64_t{m_replica.records().size()}}});
-    m_told.began(m_replica.records(), claimant.token, at + 1);
+    m_listener.began(m_replica.records(), claimant.token, at + 1);
     m_replica.clear();
     std::set<network::socket_address> told{former.address};
     for (auto const& other : m_peers.peers)
--- a/libraries/cell/ownership_watch.cpp
+++ b/libraries/cell/ownership_watch.cpp
@@ -61,8 +61,9 @@
 void ownership::watch(base::duration wait)
 {
     m_peer_client.watch(
-        m_owner.address, {m_self, m_peers.digest, m_told.configuration_here()},
-        wait, wait + (wait.count() == 0 ? probe_limit() : watch_slack),
+        m_owner.address,
+        {m_self, m_peers.digest, m_listener.configuration_here()}, wait,
+        wait + (wait.count() == 0 ? probe_limit() : watch_slack),
         [this, alive = m_generation, mine = *m_generation,
          asked_at = m_clock.now()](peer_result<watch_answer> const& it)
         {
@@ -89,7 +90,7 @@
         return;
     }
     auto const& answer = *it.answer;
-    m_told.heard_of(answer.configuration, asked_at, m_owner.address);
+    m_listener.heard_of(answer.configuration, asked_at, m_owner.address);
     if (!answer.owns || answer.owner.incarnation != m_owner.incarnation)
     {
         if (answer.owner.token > m_owner.token)
@@ -106,8 +107,8 @@
         return;
     }
     m_failures = 0;
-    m_isolated = 0;
-    m_alone = 0;
+    m_rounds_isolated = 0;
+    m_rounds_alone = 0;
     m_heard = true;
     m_watchers = answer.watchers;
     // Without a digest it is a process of a version that names all each time.
@@ -115,7 +116,7 @@
     {
         m_peers = answer.peers;
     }
-    follow_or_not();
+    update_following();
     if (answer.leaving)
     {
         claim("owner_leaves");
@@ -132,13 +133,13 @@
         claim("owner_without_store");
         return;
     }
-    watch(pace());
+    watch(watch_interval());
 }
 
 /// A standby finds a silent owner soonest, in cells of any size.
-base::duration ownership::pace() const
+base::duration ownership::watch_interval() const
 {
-    return watch_wait(turn() < standbys ? 0 : m_watchers);
+    return watch_wait(succession_rank() < standby_count ? 0 : m_watchers);
 }
 
 void ownership::lost(owner_loss why)
@@ -157,7 +158,7 @@
     ++*m_generation;
     m_others_hear = false;
     m_others_answer = false;
-    m_open_questions = 0;
+    m_open_probes = 0;
     std::vector<peer> asked;
     for (auto const& it : m_peers.peers)
     {
@@ -177,11 +178,11 @@
         claim("owner_lost");
         return;
     }
-    m_open_questions = asked.size();
+    m_open_probes = asked.size();
     for (auto const& it : asked)
     {
         m_peer_client.watch(
-            it.address, {m_self, 0, m_told.configuration_here()},
+            it.address, {m_self, 0, m_listener.configuration_here()},
             base::duration{0}, probe_timeout,
             [this, from = it.address, alive = m_generation,
              mine = *m_generation,
@@ -193,8 +194,8 @@
                 }
                 if (result.answer)
                 {
-                    m_told.heard_of(result.answer->configuration, asked_at,
-                                    from);
+                    m_listener.heard_of(result.answer->configuration, asked_at,
+                                        from);
                     m_others_answer = true;
                     if (result.answer->owner.token > m_owner.token)
                     {
@@ -206,7 +207,7 @@
                         (result.answer->owner_heard &&
                          result.answer->owner.token == m_owner.token);
                 }
-                if (--m_open_questions == 0)
+                if (--m_open_probes == 0)
                 {
                     suspected();
                 }
@@ -219,17 +220,17 @@
 /// it is asked again, for longer each time, before its work is claimed.
 void ownership::suspect_alone()
 {
-    if (++m_alone >= alone_rounds)
+    if (++m_rounds_alone >= alone_rounds)
     {
         claim("owner_lost");
         return;
     }
-    again(suspect_pause, [this] { look_again(); });
+    again(suspect_pause, [this] { probe_owner_again(); });
 }
 
 base::duration ownership::probe_limit() const
 {
-    return probe_timeout * (1U << std::min(m_alone, alone_rounds));
+    return probe_timeout * (1U << std::min(m_rounds_alone, alone_rounds));
 }
 
 void ownership::suspected()
@@ -239,16 +240,16 @@
         claim("owner_lost");
         return;
     }
-    if (!m_others_answer && ++m_isolated >= isolated_rounds)
+    if (!m_others_answer && ++m_rounds_isolated >= isolated_rounds)
     {
         claim("owner_and_others_lost");
         return;
     }
-    again(suspect_pause, [this] { look_again(); });
+    again(suspect_pause, [this] { probe_owner_again(); });
 }
 
 /// Asks the owner once more; without an answer it is lost again at once.
-void ownership::look_again()
+void ownership::probe_owner_again()
 {
     m_state = ownership_state::watching;
     m_failures = 1;
@@ -258,9 +259,9 @@
 /// Only those whose turn comes first keep up with the log, or reading it would
 /// cost each process the whole cell's traffic; the others read it anew if they
 /// ever have to claim.
-void ownership::follow_or_not()
+void ownership::update_following()
 {
-    auto const wanted = turn() < standbys;
+    auto const wanted = succession_rank() < standby_count;
     if (wanted && !m_follower.running())
     {
         m_follower.start();
--- a/libraries/cell/peer_client.cpp
+++ b/libraries/cell/peer_client.cpp
@@ -1,7 +1,7 @@
 #include <cell/peer_client.hpp>
 
 #include <base/log.hpp>
-#include <cell/packed_text.hpp>
+#include <cell/compressed_text.hpp>
 #include <cell/peer_paths.hpp>
 
 #include <utility>
@@ -29,7 +29,7 @@
 base::result<configuration_record>
 parse_packed_configuration(std::string_view body)
 {
-    BOOST_LEAF_AUTO(text, unpacked(body, largest_configuration));
+    BOOST_LEAF_AUTO(text, decompressed(body, largest_configuration));
     return parse_configuration(text);
 }
 
@@ -113,23 +113,24 @@
     network::call_patience const& patience,
     std::function<void(peer_result<configuration_record>)> done)
 {
-    m_client.call(to,
-                  {network::http_method::post,
-                   std::string{peer_paths::configuration},
-                   {{peer_paths::accept_encoding, peer_paths::packed_encoding}},
-                   "{}",
-                   "application/json"},
-                  patience,
-                  [done = std::move(done)](network::call_result const& it)
-                  {
-                      auto const is_packed =
-                          network::field_of(it.response.fields,
-                                            peer_paths::content_encoding) ==
-                          peer_paths::packed_encoding;
-                      done(read_answer<configuration_record>(
-                          it, is_packed ? parse_packed_configuration
-                                        : parse_configuration));
-                  });
+    m_client.call(
+        to,
+        {network::http_method::post,
+         std::string{peer_paths::configuration},
+         {{peer_paths::accept_encoding, peer_paths::compressed_encoding}},
+         "{}",
+         "application/json"},
+        patience,
+        [done = std::move(done)](network::call_result const& it)
+        {
+            auto const is_packed =
+                network::field_of(it.response.fields,
+                                  peer_paths::content_encoding) ==
+                peer_paths::compressed_encoding;
+            done(read_answer<configuration_record>(
+                it,
+                is_packed ? parse_packed_configuration : parse_configuration));
+        });
 }
 
 void peer_client::call(network::socket_address const& to,
--- a/libraries/cell/peer_list.cpp
+++ b/libraries/cell/peer_list.cpp
@@ -63,7 +63,7 @@
 named_peers const& peer_list::known_to(peer const& asker) const
 {
     auto const& all = m_whole.peers;
-    auto const n = std::min<std::size_t>(all.size(), standbys);
+    auto const n = std::min<std::size_t>(all.size(), standby_count);
     auto const end = all.begin() + static_cast<std::ptrdiff_t>(n);
     return std::find(all.begin(), end, asker) != end ? m_whole : m_first;
 }
--- a/libraries/cell/peer_list.hpp
+++ b/libraries/cell/peer_list.hpp
@@ -12,7 +12,7 @@
 
 /// So many processes are ready to take the work over at once: one, and one
 /// more for the case that both it and the owner are lost.
-inline constexpr std::int64_t standbys = 2;
+inline constexpr std::int64_t standby_count = 2;
 
 /// Processes by their order of succession. A value.
 struct named_peers
--- a/libraries/cell/peer_paths.hpp
+++ b/libraries/cell/peer_paths.hpp
@@ -15,6 +15,6 @@
 /// The fields by which a packed text is asked for and marked.
 inline constexpr char const* accept_encoding = "Accept-Encoding";
 inline constexpr char const* content_encoding = "Content-Encoding";
-inline constexpr char const* packed_encoding = "deflate";
+inline constexpr char const* compressed_encoding = "deflate";
 
 } // namespace berylhill::cell::peer_paths
--- a/libraries/cell/peer_service.cpp
+++ b/libraries/cell/peer_service.cpp
@@ -64,7 +64,7 @@
                            backend& behind)
     : m_loop{loop}
     , m_clock{clock}
-    , m_behind{behind}
+    , m_backend{behind}
     , m_timer{loop}
 {
     every_tick();
@@ -120,10 +120,10 @@
     }
     auto const now = m_clock.now();
     m_seen[from.value().from] = now;
-    m_behind.heard_of(from.value().configuration.version,
-                      from.value().from.address);
+    m_backend.heard_of(from.value().configuration.version,
+                       from.value().from.address);
     auto const wait = wait_in(it.target);
-    if (wait.count() == 0 || !m_behind.owns())
+    if (wait.count() == 0 || !m_backend.owns())
     {
         answer(watch_response(from.value()));
         return;
@@ -136,19 +136,19 @@
                                  network::responder const& answer)
 {
     if (network::field_of(it.fields, peer_paths::accept_encoding) !=
-        peer_paths::packed_encoding)
+        peer_paths::compressed_encoding)
     {
-        answer({status_ok, {}, text_of(m_behind.configuration())});
+        answer({status_ok, {}, text_of(m_backend.configuration())});
         return;
     }
-    auto copy = m_behind.packed_configuration();
+    auto copy = m_backend.compressed_configuration();
     if (!copy)
     {
         answer({status_busy, {}, {}});
         return;
     }
     answer({status_ok,
-            {{peer_paths::content_encoding, peer_paths::packed_encoding}},
+            {{peer_paths::content_encoding, peer_paths::compressed_encoding}},
             std::move(*copy),
             "application/octet-stream"});
 }
@@ -156,7 +156,7 @@
 void peer_service::job(network::http_request const& it,
                        network::responder answer)
 {
-    if (!m_behind.owns())
+    if (!m_backend.owns())
     {
         answer({status_conflict, {}, {}});
         return;
@@ -167,10 +167,10 @@
         refuse(answer, call.error());
         return;
     }
-    m_behind.call_owner(call.value(),
-                        [answer = std::move(answer)](job_answer const& end) {
-                            answer({status_ok, {}, text_of(end)});
-                        });
+    m_backend.call_owner(call.value(),
+                         [answer = std::move(answer)](job_answer const& end) {
+                             answer({status_ok, {}, text_of(end)});
+                         });
 }
 
 void peer_service::advise(network::http_request const& it,
@@ -183,10 +183,10 @@
         refuse(answer, question.error());
         return;
     }
-    m_behind.advise(question.value(),
-                    [answer = std::move(answer)](advice_result const& end) {
-                        answer({status_ok, {}, text_of(end)});
-                    });
+    m_backend.advise(question.value(),
+                     [answer = std::move(answer)](advice_result const& end) {
+                         answer({status_ok, {}, text_of(end)});
+                     });
 }
 
 void peer_service::owner(network::http_request const& it,
@@ -199,15 +199,15 @@
         return;
     }
     answer({status_ok, {}, "{}"});
-    m_behind.heard_of(read.value());
+    m_backend.heard_of(read.value());
 }
 
 network::http_response peer_service::watch_response(watch_question const& to)
 {
-    auto out = m_behind.view();
-    if (m_behind.owns())
+    auto out = m_backend.view();
+    if (m_backend.owns())
     {
-        look_who_watches();
+        refresh_watchers();
         out.watchers = m_list.size();
         auto const& named = m_list.known_to(to.from);
         out.peers.digest = named.digest;
@@ -219,7 +219,7 @@
     return {status_ok, {}, text_of(out)};
 }
 
-void peer_service::look_who_watches()
+void peer_service::refresh_watchers()
 {
     auto const now = m_clock.now();
     if (now >= m_next_list)
@@ -230,7 +230,7 @@
 }
 
 /// After which a process that has not asked is not counted.
-base::duration peer_service::kept() const
+base::duration peer_service::watcher_lifetime() const
 {
     return watcher_kept + watch_wait(m_seen.size()) - watch_wait(0);
 }
@@ -247,7 +247,7 @@
 std::vector<peer> peer_service::watchers() const
 {
     auto const now = m_clock.now();
-    auto const longest = kept();
+    auto const longest = watcher_lifetime();
     std::vector<peer> out;
     for (auto const& [it, seen] : m_seen)
     {
--- a/libraries/cell/peer_service.hpp
+++ b/libraries/cell/peer_service.hpp
@@ -42,7 +42,7 @@
         /// The same as a packed text; nothing while other copies take what the
         /// link may carry of them.
         [[nodiscard]] virtual std::optional<std::string>
-        packed_configuration() = 0;
+        compressed_configuration() = 0;
         [[nodiscard]] virtual bool owns() const = 0;
         /// Precondition: `owns()`.
         virtual void call_owner(job_call const& it,
@@ -81,13 +81,13 @@
     void owner(network::http_request const& it, network::responder answer);
     [[nodiscard]] network::http_response
     watch_response(watch_question const& to);
-    void look_who_watches();
-    [[nodiscard]] base::duration kept() const;
+    void refresh_watchers();
+    [[nodiscard]] base::duration watcher_lifetime() const;
     void every_tick();
 
     boost::asio::io_context& m_loop;
     base::clock const& m_clock;
-    backend& m_behind;
+    backend& m_backend;
     boost::asio::steady_timer m_timer;
     std::list<open_watch> m_watches;
     std::map<peer, base::instant> m_seen;
--- a/libraries/cell/sure_append.cpp
+++ b/libraries/cell/reliable_append.cpp
@@ -1,4 +1,4 @@
-#include <cell/sure_append.hpp>
+#include <cell/reliable_append.hpp>
 
 #include <base/log.hpp>
 
@@ -98,10 +98,10 @@
                                       most_stuck_limit);
 }
 
-sure_append::sure_append(boost::asio::io_context& loop,
-                         base::clock const& clock,
-                         keyed_log& log,
-                         store_latency& latency)
+reliable_append::reliable_append(boost::asio::io_context& loop,
+                                 base::clock const& clock,
+                                 keyed_log& log,
+                                 store_latency& latency)
     : m_clock{clock}
     , m_log{log}
     , m_latency{latency}
@@ -109,15 +109,15 @@
 {
 }
 
-sure_append::~sure_append()
+reliable_append::~reliable_append()
 {
     ++*m_generation;
 }
 
-void sure_append::begin(std::uint64_t at,
-                        std::vector<scheduler::record> records,
-                        base::duration limit,
-                        handler done)
+void reliable_append::begin(std::uint64_t at,
+                            std::vector<scheduler::record> records,
+                            base::duration limit,
+                            handler done)
 {
     ++*m_generation;
     m_busy = true;
@@ -135,7 +135,7 @@
     send();
 }
 
-bool sure_append::take_back()
+bool reliable_append::take_back()
 {
     if (!m_busy || m_awaiting > 0 || m_maybe_stored)
     {
@@ -149,16 +149,16 @@
     return true;
 }
 
-bool sure_append::over() const
+bool reliable_append::over() const
 {
     return m_limit.count() != 0 && m_clock.now() - m_began > m_limit;
 }
 
-void sure_append::send()
+void reliable_append::send()
 {
     if (over())
     {
-        finish(sure_end::unknown);
+        finish(reliable_append_outcome::unknown);
         return;
     }
     auto const sent_at = m_clock.now();
@@ -177,7 +177,7 @@
 }
 
 /// The newest try has no answer yet. It may be lost, so it is sent once more.
-void sure_append::overdue()
+void reliable_append::overdue()
 {
     m_maybe_stored = true;
     if (std::has_single_bit(m_tries))
@@ -188,7 +188,7 @@
     send();
 }
 
-void sure_append::answered(append_result const& it, base::instant sent_at)
+void reliable_append::answered(append_result const& it, base::instant sent_at)
 {
     --m_awaiting;
     if (it.outcome != append_end::unanswered)
@@ -198,7 +198,7 @@
     switch (it.outcome)
     {
     case append_end::stored:
-        finish(sure_end::stored);
+        finish(reliable_append_outcome::stored);
         return;
     case append_end::conflict:
         m_maybe_stored = true;
@@ -206,7 +206,7 @@
         {
             // Ours is not the log that the store has: nothing that was
             // believed of it holds.
-            finish(sure_end::overtaken);
+            finish(reliable_append_outcome::overtaken);
             return;
         }
         if (!std::exchange(m_looking, true))
@@ -241,7 +241,7 @@
 
 /// A connection that is reset at once costs no time, so a store that resets
 /// all of them would be asked three hundred times a second.
-void sure_append::repeat(base::instant sent_at)
+void reliable_append::repeat(base::instant sent_at)
 {
     auto const pause =
         std::min(longest_repeat_pause, doubled(first_repeat_pause, m_tries));
@@ -249,7 +249,7 @@
     again(std::max(base::duration{0}, pause - took), [this] { send(); });
 }
 
-void sure_append::look()
+void reliable_append::look()
 {
     auto const patience =
         std::min(look_timeout_limit, doubled(look_timeout, m_looks++));
@@ -264,20 +264,20 @@
                });
 }
 
-void sure_append::looked(read_result const& it)
+void reliable_append::looked(read_result const& it)
 {
     if (it.outcome == read_end::trimmed)
     {
         // The store dropped its history: the records stand or fall by the
         // newest of their keys, and another writer's claim would be newer.
-        finish(sure_end::unknown);
+        finish(reliable_append_outcome::unknown);
         return;
     }
     if (it.outcome != read_end::read)
     {
         if (over())
         {
-            finish(sure_end::unknown);
+            finish(reliable_append_outcome::unknown);
             return;
         }
         again(first_pause, [this] { look(); });
@@ -289,12 +289,13 @@
         again(first_pause, [this] { send(); });
         return;
     }
-    finish(stands_at(it) ? sure_end::stored : sure_end::overtaken);
+    finish(stands_at(it) ? reliable_append_outcome::stored
+                         : reliable_append_outcome::overtaken);
 }
 
 /// All of the records have to be there: a batch that was written anew may
 /// begin as the one before did.
-bool sure_append::stands_at(read_result const& it) const
+bool reliable_append::stands_at(read_result const& it) const
 {
     auto const n = std::min(it.entries.size(), m_records.size());
     for (std::size_t i = 0; i < n; ++i)
@@ -309,7 +310,7 @@
     return true;
 }
 
-void sure_append::again(base::duration pause, std::function<void()> what)
+void reliable_append::again(base::duration pause, std::function<void()> what)
 {
     m_timer.expires_after(pause);
     m_timer.async_wait(
@@ -323,7 +324,7 @@
         });
 }
 
-void sure_append::finish(sure_end it)
+void reliable_append::finish(reliable_append_outcome it)
 {
     auto const took = m_clock.now() - m_began;
     if (took > slow_append)
@@ -333,7 +334,7 @@
                    {"records", std::uint64_t{m_records.size()}},
                    {"bytes", bytes_of(m_records)},
                    {"tries", m_tries},
-                   {"stored", it == sure_end::stored ? 1 : 0},
+                   {"stored", it == reliable_append_outcome::stored ? 1 : 0},
                    {"took_s", base::seconds_of(took)}});
     }
     // What other tries still bring is of no interest.
--- a/libraries/cell/sure_append.hpp
+++ b/libraries/cell/reliable_append.hpp
@@ -34,7 +34,7 @@
     base::duration m_mean{std::chrono::milliseconds{20}};
 };
 
-enum class sure_end : std::uint8_t
+enum class reliable_append_outcome : std::uint8_t
 {
     stored,
     /// Another writer's record stands where these should.
@@ -50,18 +50,18 @@
 /// on, the record at the offset shows whose append it was.
 ///
 /// One append at a time. Lives on the event loop.
-class sure_append
+class reliable_append
 {
 public:
-    using handler = std::function<void(sure_end)>;
+    using handler = std::function<void(reliable_append_outcome)>;
 
-    sure_append(boost::asio::io_context& loop,
-                base::clock const& clock,
-                keyed_log& log,
-                store_latency& latency);
-    sure_append(sure_append const&) = delete;
-    sure_append& operator=(sure_append const&) = delete;
-    ~sure_append();
+    reliable_append(boost::asio::io_context& loop,
+                    base::clock const& clock,
+                    keyed_log& log,
+                    store_latency& latency);
+    reliable_append(reliable_append const&) = delete;
+    reliable_append& operator=(reliable_append const&) = delete;
+    ~reliable_append();
 
     /// Precondition: none is under way; `records` is not empty. `limit` 0:
     /// never given up.
@@ -97,7 +97,7 @@
     void looked(read_result const& it);
     [[nodiscard]] bool stands_at(read_result const& it) const;
     void again(base::duration pause, std::function<void()> what);
-    void finish(sure_end it);
+    void finish(reliable_append_outcome it);
 
     base::clock const& m_clock;
     keyed_log& m_log;
--- a/libraries/cell/sure_read.cpp
+++ b/libraries/cell/reliable_read.cpp
@@ -1,4 +1,4 @@
-#include <cell/sure_read.hpp>
+#include <cell/reliable_read.hpp>
 
 #include <base/log.hpp>
 
@@ -24,11 +24,11 @@
 
 } // namespace
 
-sure_read::sure_read(boost::asio::io_context& loop,
-                     base::clock const& clock,
-                     keyed_log& log,
-                     std::string name,
-                     base::duration slack)
+reliable_read::reliable_read(boost::asio::io_context& loop,
+                             base::clock const& clock,
+                             keyed_log& log,
+                             std::string name,
+                             base::duration slack)
     : m_clock{clock}
     , m_log{log}
     , m_name{std::move(name)}
@@ -38,12 +38,12 @@
 {
 }
 
-sure_read::~sure_read()
+reliable_read::~reliable_read()
 {
     ++*m_generation;
 }
 
-void sure_read::begin(read_goal const& it, handler done)
+void reliable_read::begin(reliable_read_request const& it, handler done)
 {
     cancel();
     m_tries = 0;
@@ -53,7 +53,7 @@
     ask(it.wait);
 }
 
-void sure_read::cancel()
+void reliable_read::cancel()
 {
     ++*m_generation;
     m_timer.cancel();
@@ -67,7 +67,7 @@
     }
 }
 
-void sure_read::ask(base::duration wait)
+void reliable_read::ask(base::duration wait)
 {
     auto const asked_at = m_clock.now();
     network::call_patience patience{m_until - asked_at, longest_stall};
@@ -87,7 +87,7 @@
     look_after(wait + m_slack * (1U << (m_tries - 1)));
 }
 
-void sure_read::look_after(base::duration pause)
+void reliable_read::look_after(base::duration pause)
 {
     m_timer.expires_after(pause);
     m_timer.async_wait(
@@ -100,7 +100,7 @@
         });
 }
 
-bool sure_read::answer_comes() const
+bool reliable_read::answer_comes() const
 {
     return std::ranges::any_of(m_questions,
                                [](auto const& it)
@@ -112,7 +112,7 @@
 
 /// An answer that has begun is not asked for again: it would come a second
 /// time over the same link.
-void sure_read::overdue()
+void reliable_read::overdue()
 {
     if (m_awaiting >= most_questions || answer_comes() ||
         m_clock.now() + m_least_slack >= m_until)
@@ -131,9 +131,9 @@
     ask(base::duration{0});
 }
 
-void sure_read::answered(read_result it,
-                         base::instant asked_at,
-                         base::duration wait)
+void reliable_read::answered(read_result it,
+                             base::instant asked_at,
+                             base::duration wait)
 {
     --m_awaiting;
     auto const nothing =
@@ -151,14 +151,14 @@
 }
 
 /// A store that takes long each time is not asked several times each time.
-void sure_read::learn(base::duration took)
+void reliable_read::learn(base::duration took)
 {
     auto const wanted = took * slack_factor_percent / 100;
     m_slack = std::clamp(std::max(wanted, m_slack / 2), m_least_slack,
                          std::max(m_least_slack, most_slack));
 }
 
-void sure_read::finish(read_result it, base::instant as_of)
+void reliable_read::finish(read_result it, base::instant as_of)
 {
     auto const done = std::exchange(m_done, nullptr);
     cancel();
--- a/libraries/cell/sure_read.hpp
+++ b/libraries/cell/reliable_read.hpp
@@ -18,19 +18,20 @@
 
 /// How long an answer to one question is listened for, at most, until it
 /// begins. A store that takes longer is away.
-inline constexpr base::duration longest_begin = std::chrono::seconds{4};
+inline constexpr base::duration max_response_delay = std::chrono::seconds{4};
 
 /// What is to be read. A value.
-struct read_goal
+struct reliable_read_request
 {
     std::uint64_t from{0};
     /// How long the store may wait for a first record.
     base::duration wait{0};
     std::size_t most_bytes{0};
     /// Beyond `wait`, until the read is given up if no answer has begun.
-    base::duration limit{longest_begin};
+    base::duration limit{max_response_delay};
 
-    friend bool operator==(read_goal const&, read_goal const&) = default;
+    friend bool operator==(reliable_read_request const&,
+                           reliable_read_request const&) = default;
 };
 
 /// What a read of a log brought. A value.
@@ -48,24 +49,24 @@
 /// answer has begun, it may take as long as it keeps coming.
 ///
 /// One read at a time. Lives on the event loop.
-class sure_read
+class reliable_read
 {
 public:
     using handler = std::function<void(reliable_read_result)>;
 
     /// `name` is the log's, for our logs; `slack` is added to the time that the
     /// store may wait before a question counts as overdue.
-    sure_read(boost::asio::io_context& loop,
-              base::clock const& clock,
-              keyed_log& log,
-              std::string name,
-              base::duration slack);
-    sure_read(sure_read const&) = delete;
-    sure_read& operator=(sure_read const&) = delete;
-    ~sure_read();
+    reliable_read(boost::asio::io_context& loop,
+                  base::clock const& clock,
+                  keyed_log& log,
+                  std::string name,
+                  base::duration slack);
+    reliable_read(reliable_read const&) = delete;
+    reliable_read& operator=(reliable_read const&) = delete;
+    ~reliable_read();
 
     /// Ends the read under way, if there is one, without a word to its handler.
-    void begin(read_goal const& it, handler done);
+    void begin(reliable_read_request const& it, handler done);
 
     /// Ends the read under way, if there is one; its handler is not called.
     void cancel();
@@ -87,7 +88,7 @@
     boost::asio::steady_timer m_timer;
     std::shared_ptr<std::uint64_t> m_generation{
         std::make_shared<std::uint64_t>(0)};
-    read_goal m_goal;
+    reliable_read_request m_goal;
     /// When it is given up.
     base::instant m_until{};
     handler m_done;
--- a/tests/cell/advice_desk_test.cpp
+++ b/tests/cell/advice_dispatcher_test.cpp
@@ -1,4 +1,4 @@
-#include <cell/advice_desk.hpp>
+#include <cell/advice_dispatcher.hpp>
 
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
@@ -51,11 +51,11 @@
     network::http_client client{loop, {}};
     cell::peer_client peers{client};
     held_link own;
-    cell::advice_desk desk{clock, own, peers,
-                           []
-                           {
-                               return std::vector<cell::peer>{};
-                           }};
+    cell::advice_dispatcher desk{clock, own, peers,
+                                 []
+                                 {
+                                     return std::vector<cell::peer>{};
+                                 }};
     std::vector<std::uint32_t> done;
 };
 
@@ -64,7 +64,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(advice_desk, fixture)
+BOOST_FIXTURE_TEST_SUITE(advice_dispatcher, fixture)
 
 /// A user's urgent work waits for most of a second. All questions for advice
 /// lie at the machine of the owner, short ones behind long ones, and the
--- a/tests/cell/batch_waiters_test.cpp
+++ b/tests/cell/batch_waiters_test.cpp
@@ -97,7 +97,7 @@
             unsent.clear();
             return;
         case batch_returned:
-            waiters.batch_returned();
+            waiters.batch_not_stored();
             unsent.merge(sent);
             sent.clear();
             return;
--- a/tests/cell/packed_text_test.cpp
+++ b/tests/cell/compressed_text_test.cpp
@@ -1,5 +1,5 @@
 #include <cell/byte_budget.hpp>
-#include <cell/packed_text.hpp>
+#include <cell/compressed_text.hpp>
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -46,30 +46,32 @@
 
 bool comes_back(std::string_view it, std::size_t limit)
 {
-    return base::capture([&] { return cell::unpacked(it, limit); }).has_value();
+    return base::capture([&] { return cell::decompressed(it, limit); })
+        .has_value();
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(packed_text)
+BOOST_AUTO_TEST_SUITE(compressed_text)
 
 BOOST_DATA_TEST_CASE(it_comes_back_whole,
                      boost::unit_test::data::make(text_cases))
 {
     auto const out = base::capture(
-        [&] { return cell::unpacked(cell::packed(sample.text), most); });
+        [&]
+        { return cell::decompressed(cell::compressed(sample.text), most); });
     BOOST_REQUIRE(out.has_value());
     BOOST_TEST(out.value() == sample.text);
 }
 
 BOOST_AUTO_TEST_CASE(what_is_cut_or_too_large_is_refused)
 {
-    auto const it = cell::packed(queues(1'400));
+    auto const it = cell::compressed(queues(1'400));
     BOOST_TEST(it.size() < queues(1'400).size() / 4);
     BOOST_TEST(
         !comes_back(std::string_view{it}.substr(0, it.size() / 2), most));
     BOOST_TEST(!comes_back("no packed text", most));
-    BOOST_TEST(!comes_back(cell::packed(std::string(most + 1, 'x')), most));
+    BOOST_TEST(!comes_back(cell::compressed(std::string(most + 1, 'x')), most));
 }
 
 /// Hundreds of processes ask one for its configuration at once, and calls on
@@ -82,7 +84,7 @@
     std::size_t sent = 0;
     for (int n = 0; n < 1'000; ++n)
     {
-        sent += it.take(copy, now) ? copy : 0;
+        sent += it.try_take(copy, now) ? copy : 0;
         now += std::chrono::milliseconds{1};
     }
     BOOST_TEST(sent <= 1'000'000U + 64'000U + copy);
--- a/tests/cell/configuration_random_test.cpp
+++ b/tests/cell/configuration_random_test.cpp
@@ -117,7 +117,7 @@
         if (version > to.version)
         {
             to.version = version;
-            to.spread.has(version);
+            to.spread.on_version_installed(version);
         }
     }
 
@@ -139,7 +139,7 @@
                       take(m_members[n], found);
                       if (m_members[n].version == found)
                       {
-                          m_members[n].spread.read_store(asked_at);
+                          m_members[n].spread.on_store_read(asked_at);
                       }
                       at(draw(50, 700), [this, n] { read(n); });
                   });
@@ -164,7 +164,8 @@
                   [this, n, other, asked_at, it]
                   {
                       auto& to = m_members[n];
-                      if (to.spread.heard(it, asked_at, to.version, m_now))
+                      if (to.spread.on_version_heard(it, asked_at, to.version,
+                                                     m_now))
                       {
                           fetch(n, other);
                       }
@@ -182,9 +183,9 @@
                at(way(),
                   [this, n, fails, found = m_members[other].version]
                   {
-                      m_members[n].spread.fetched(fails
-                                                      ? cell::fetch_end::failed
-                                                      : cell::fetch_end::came);
+                      m_members[n].spread.on_fetch_ended(
+                          fails ? cell::fetch_end::failed
+                                : cell::fetch_end::received);
                       if (!fails)
                       {
                           take(m_members[n], found);
--- a/tests/cell/configuration_spread_test.cpp
+++ b/tests/cell/configuration_spread_test.cpp
@@ -52,18 +52,18 @@
 {
     cell::configuration_spread it;
     base::instant now{std::chrono::seconds{100}};
-    it.read_store(now);
+    it.on_store_read(now);
     now += sample.unread;
     if (sample.known_for.count() > 0)
     {
-        BOOST_TEST(!it.heard(sample.theirs, own, now));
+        BOOST_TEST(!it.on_version_heard(sample.theirs, own, now));
         now += sample.known_for;
     }
-    BOOST_TEST(it.heard(sample.theirs, own, now) == sample.fetches);
+    BOOST_TEST(it.on_version_heard(sample.theirs, own, now) == sample.fetches);
     // One at a time.
-    BOOST_TEST(!it.heard(sample.theirs, own, now));
-    it.fetched(cell::fetch_end::came);
-    BOOST_TEST(it.heard(sample.theirs, own, now) == sample.fetches);
+    BOOST_TEST(!it.on_version_heard(sample.theirs, own, now));
+    it.on_fetch_ended(cell::fetch_end::received);
+    BOOST_TEST(it.on_version_heard(sample.theirs, own, now) == sample.fetches);
 }
 
 /// A process that never read the store knows nothing, and one that hears from
@@ -73,9 +73,9 @@
     cell::configuration_spread it;
     base::instant const now{std::chrono::seconds{100}};
     BOOST_TEST((it.age(now) > std::chrono::minutes{1}));
-    BOOST_TEST(!it.heard({own, milliseconds{400}}, now, own, now));
+    BOOST_TEST(!it.on_version_heard({own, milliseconds{400}}, now, own, now));
     BOOST_TEST((it.age(now) == milliseconds{400}));
-    BOOST_TEST(!it.heard({own, milliseconds{900}}, now, own, now));
+    BOOST_TEST(!it.on_version_heard({own, milliseconds{900}}, now, own, now));
     BOOST_TEST((it.age(now) == milliseconds{400}));
 }
 
@@ -89,13 +89,13 @@
     cell::configuration_spread other;
     base::instant const read_at{std::chrono::seconds{100}};
     base::instant now = read_at;
-    one.read_store(read_at);
+    one.on_store_read(read_at);
     for (int n = 0; n < 20; ++n)
     {
         auto const asked_at = now;
         auto const answer = cell::configuration_age{own, one.age(now)};
         now += under_way;
-        BOOST_TEST(!other.heard(answer, asked_at, own, now));
+        BOOST_TEST(!other.on_version_heard(answer, asked_at, own, now));
         BOOST_TEST((other.age(now) >= now - read_at));
         std::swap(one, other);
     }
@@ -107,13 +107,13 @@
 {
     cell::configuration_spread it;
     base::instant now{std::chrono::seconds{100}};
-    it.read_store(now);
-    BOOST_TEST(!it.heard(own + 1, own, now));
+    it.on_store_read(now);
+    BOOST_TEST(!it.on_version_heard(own + 1, own, now));
     now += milliseconds{250};
-    it.read_store(now);
+    it.on_store_read(now);
     BOOST_TEST((it.behind(now) == milliseconds{250}));
-    BOOST_TEST(it.heard(own + 1, own, now));
-    it.has(own + 1);
+    BOOST_TEST(it.on_version_heard(own + 1, own, now));
+    it.on_version_installed(own + 1);
     BOOST_TEST((it.behind(now) == milliseconds{0}));
 }
 
@@ -121,13 +121,13 @@
 BOOST_AUTO_TEST_CASE(a_fetch_without_an_answer_is_given_more_time)
 {
     cell::configuration_spread it;
-    auto const first = it.fetch_patience();
-    it.fetched(cell::fetch_end::failed);
-    BOOST_TEST((it.fetch_patience() == 2 * first));
-    it.fetched(cell::fetch_end::turned_away);
-    BOOST_TEST((it.fetch_patience() == 2 * first));
-    it.fetched(cell::fetch_end::came);
-    BOOST_TEST((it.fetch_patience() == first));
+    auto const first = it.fetch_timeout();
+    it.on_fetch_ended(cell::fetch_end::failed);
+    BOOST_TEST((it.fetch_timeout() == 2 * first));
+    it.on_fetch_ended(cell::fetch_end::rejected);
+    BOOST_TEST((it.fetch_timeout() == 2 * first));
+    it.on_fetch_ended(cell::fetch_end::received);
+    BOOST_TEST((it.fetch_timeout() == first));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/cell/sure_append_test.cpp
+++ b/tests/cell/reliable_append_test.cpp
@@ -1,6 +1,6 @@
 #include "fake_log.hpp"
 
-#include <cell/sure_append.hpp>
+#include <cell/reliable_append.hpp>
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -11,7 +11,7 @@
 
 using namespace berylhill;
 using namespace berylhill::cell_test;
-using cell::sure_end;
+using cell::reliable_append_outcome;
 
 namespace
 {
@@ -27,7 +27,7 @@
     record_list others;
     std::vector<fate> fates;
     std::uint64_t at;
-    sure_end end;
+    reliable_append_outcome end;
 };
 
 std::ostream& operator<<(std::ostream& to, append_case const& it)
@@ -36,25 +36,37 @@
 }
 
 append_case const cases[] = {
-    {"stored at once", {}, {}, 0, sure_end::stored},
+    {"stored at once", {}, {}, 0, reliable_append_outcome::stored},
     {"stored without an answer",
      {},
      {fate::store_silently},
      0,
-     sure_end::stored},
+     reliable_append_outcome::stored},
     {"refused, then stored",
      {},
      {fate::refuse, fate::refuse},
      0,
-     sure_end::stored},
-    {"lost, then stored", {}, {fate::delay}, 0, sure_end::stored},
-    {"another writer was first", {{"owner", "x"}}, {}, 0, sure_end::overtaken},
+     reliable_append_outcome::stored},
+    {"lost, then stored",
+     {},
+     {fate::delay},
+     0,
+     reliable_append_outcome::stored},
+    {"another writer was first",
+     {{"owner", "x"}},
+     {},
+     0,
+     reliable_append_outcome::overtaken},
     {"another batch that begins alike",
      {{"a", "1"}, {"b", "other"}},
      {},
      0,
-     sure_end::overtaken},
-    {"the log ends before our offset", {}, {}, 7, sure_end::overtaken},
+     reliable_append_outcome::overtaken},
+    {"the log ends before our offset",
+     {},
+     {},
+     7,
+     reliable_append_outcome::overtaken},
 };
 
 struct fixture
@@ -63,12 +75,13 @@
     base::system_clock clock;
     fake_log log{loop};
     cell::store_latency latency;
-    cell::sure_append append{loop, clock, log, latency};
-    std::optional<sure_end> end;
+    cell::reliable_append append{loop, clock, log, latency};
+    std::optional<reliable_append_outcome> end;
 
     void begin(std::uint64_t at, base::duration limit = {})
     {
-        append.begin(at, ours, limit, [this](sure_end it) { end = it; });
+        append.begin(at, ours, limit,
+                     [this](reliable_append_outcome it) { end = it; });
     }
 
     void run()
@@ -83,7 +96,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(sure_append, fixture)
+BOOST_FIXTURE_TEST_SUITE(reliable_append, fixture)
 
 BOOST_DATA_TEST_CASE(what_became_of_an_append_is_certain,
                      boost::unit_test::data::make(cases))
@@ -95,7 +108,7 @@
     BOOST_REQUIRE(end.has_value());
     BOOST_TEST((*end == sample.end));
     log.deliver_late();
-    if (sample.end == sure_end::stored)
+    if (sample.end == reliable_append_outcome::stored)
     {
         // Once, however often it was sent.
         BOOST_TEST((log.log == ours));
@@ -128,7 +141,7 @@
     log.fates.clear();
     run();
     BOOST_REQUIRE(end.has_value());
-    BOOST_TEST((*end == sure_end::stored));
+    BOOST_TEST((*end == reliable_append_outcome::stored));
 }
 
 /// Users are refused for a second though the store works. It takes 240 ms for
@@ -141,7 +154,7 @@
     begin(0);
     run();
     BOOST_REQUIRE(end.has_value());
-    BOOST_TEST((*end == sure_end::stored));
+    BOOST_TEST((*end == reliable_append_outcome::stored));
     BOOST_TEST(base::seconds_of(clock.now() - began) < 0.4);
     BOOST_TEST(log.appends <= 2);
     BOOST_TEST((log.log == ours));
@@ -158,7 +171,7 @@
     auto const back = clock.now();
     run();
     BOOST_REQUIRE(end.has_value());
-    BOOST_TEST((*end == sure_end::stored));
+    BOOST_TEST((*end == reliable_append_outcome::stored));
     BOOST_TEST(base::seconds_of(clock.now() - back) < 0.9);
 }
 
@@ -180,7 +193,7 @@
     begin(0, std::chrono::milliseconds{100});
     run();
     BOOST_REQUIRE(end.has_value());
-    BOOST_TEST((*end == sure_end::unknown));
+    BOOST_TEST((*end == reliable_append_outcome::unknown));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/cell/sure_read_test.cpp
+++ b/tests/cell/reliable_read_test.cpp
@@ -1,6 +1,6 @@
 #include "fake_log.hpp"
 
-#include <cell/sure_read.hpp>
+#include <cell/reliable_read.hpp>
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -26,7 +26,7 @@
     cell::reliable_read_result read(base::duration wait = milliseconds{0})
     {
         std::optional<cell::reliable_read_result> out;
-        reader.begin({0, wait, 1'024, cell::longest_begin},
+        reader.begin({0, wait, 1'024, cell::max_response_delay},
                      [&](cell::reliable_read_result it)
                      { out = std::move(it); });
         auto const end = clock.now() + std::chrono::seconds{6};
@@ -42,7 +42,7 @@
     boost::asio::io_context loop;
     base::system_clock clock;
     fake_log log{loop};
-    cell::sure_read reader{loop, clock, log, "test", slack};
+    cell::reliable_read reader{loop, clock, log, "test", slack};
 };
 
 struct slow_case
@@ -70,7 +70,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(sure_read, fixture)
+BOOST_FIXTURE_TEST_SUITE(reliable_read, fixture)
 
 /// A configuration never gets to a machine: a read that takes long is given up
 /// and repeated with the same patience, or is sent again beside itself.
