--- a/libraries/cell/adapter.hpp
+++ b/libraries/cell/adapter.hpp
@@ -14,14 +14,14 @@
 namespace berylhill::cell
 {
 
-/// All that a process of the cell asks of the platform below it.
+/// The platform's services that a process of the cell uses.
 struct adapter
 {
-    /// The cell's own records.
+    /// Records of the cell: its jobs and the owner's claim.
     std::unique_ptr<keyed_log> cell_log;
-    /// What the operator writes.
+    /// The operator's configuration.
     std::unique_ptr<keyed_log> operator_log;
-    /// What the instances write of themselves.
+    /// The entries that instances write about themselves.
     std::unique_ptr<keyed_log> instance_log;
     std::unique_ptr<instance_link> orders;
     std::unique_ptr<advice_link> advice;
--- a/libraries/cell/advice_dispatcher.cpp
+++ b/libraries/cell/advice_dispatcher.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-/// Added to the time that an answer should take before it is given up. One
-/// other question may be before it.
+/// Added to the expected response time before a request times out. One other
+/// request may be ahead of it.
 constexpr base::duration answer_slack = std::chrono::milliseconds{300};
 constexpr int expected_factor = 2;
 
-/// How long the other processes are taken to be the same: hundreds of
-/// questions a second need not copy hundreds of names each.
+/// Lifetime of the cached list of processes. At hundreds of requests a second,
+/// copying hundreds of names for each one is too expensive.
 constexpr base::duration others_kept = std::chrono::milliseconds{50};
 
 } // namespace
--- a/libraries/cell/advice_dispatcher.hpp
+++ b/libraries/cell/advice_dispatcher.hpp
@@ -14,14 +14,14 @@
 namespace berylhill::cell
 {
 
-/// Has the machines of the cell ask the questions for advice, as the queue
-/// says. Lives on the event loop.
+/// Distributes advice requests over the processes of the cell, in the order
+/// that `advice_queue` gives. Lives on the event loop.
 class advice_dispatcher
 {
 public:
     using handler = std::function<void(advice_result const&)>;
 
-    /// Fills in the other processes that live now.
+    /// Returns the other live processes.
     using peers_function = std::function<std::vector<peer>()>;
 
     advice_dispatcher(base::clock const& clock,
@@ -29,7 +29,7 @@
                       peer_client& peers,
                       peers_function others);
 
-    /// How many machines can ask now, this one included.
+    /// The number of processes that can send requests now, this one included.
     [[nodiscard]] std::size_t machines();
 
     /// `done` is called once, on the event loop.
@@ -42,7 +42,7 @@
         handler done;
     };
 
-    /// The other processes that live now, or did a moment ago.
+    /// The live processes besides this one; cached for a short time.
     [[nodiscard]] std::vector<peer> const& others();
     void send_next();
     void send(advice_queue::assignment const& it);
--- a/libraries/cell/advice_link.hpp
+++ b/libraries/cell/advice_link.hpp
@@ -14,14 +14,14 @@
 {
     bool answered{false};
     std::vector<scheduler::permission> allowed;
-    /// How long the tickets hold.
+    /// How long the tickets are valid.
     base::duration validity{0};
 };
 
 using advice_handler = std::function<void(advice_result const&)>;
 
-/// The service that knows which instances may run a step. It handles one
-/// question at a time for each machine that asks.
+/// Client of the service that knows which instances may run a step. The service
+/// handles one request at a time for each client machine.
 class advice_link
 {
 public:
@@ -30,8 +30,8 @@
     advice_link& operator=(advice_link const&) = delete;
     virtual ~advice_link() = default;
 
-    /// `handler` is called once, on the event loop, `timeout` after the call
-    /// at the latest.
+    /// `handler` is called once, on the event loop, at most `timeout` after the
+    /// call.
     virtual void ask(workload::step_name const& step,
                      std::vector<std::string> const& instances,
                      base::duration timeout,
--- a/libraries/cell/advice_queue.cpp
+++ b/libraries/cell/advice_queue.cpp
@@ -10,19 +10,19 @@
 namespace
 {
 
-/// A machine that gave no answer is not asked for so long.
+/// How long a machine is avoided after a request without an answer.
 constexpr base::duration avoid_for = std::chrono::milliseconds{1'500};
 
-/// So many short questions may be under way at a machine, so that the service
-/// has the next one when it is done with the first. A long one is alone.
+/// Short requests in flight at one machine, so that the service has the next
+/// one when it finishes the first. A long request is sent alone.
 constexpr std::size_t most_short = 2;
 
-/// One machine in so many is kept for short questions, two at least: those of
-/// the largest cell's urgent work take 2.5 machines of 37.
+/// One machine in this many is reserved for short requests, at least two: the
+/// urgent work of the largest cell keeps 2.5 of 37 machines busy.
 constexpr std::size_t kept_for_short = 5;
 constexpr std::size_t least_kept = 2;
 
-/// With fewer machines all take all questions.
+/// With fewer machines, none is reserved.
 constexpr std::size_t least_to_keep = 5;
 
 } // namespace
@@ -42,7 +42,7 @@
     return now >= it.avoid_until && it.asking < (takes_long ? 1 : most_short);
 }
 
-/// This machine comes first: it costs no way to another one.
+/// This machine comes first because it needs no call to another process.
 void advice_queue::set_machines(std::vector<peer> const& others)
 {
     if (!m_candidates.empty() && others == m_others)
@@ -58,7 +58,8 @@
     }
 }
 
-/// The machine that asks least; of equals the first. Null: none is free.
+/// Returns the free machine with the fewest requests in flight, the first of
+/// equals; null if none is free.
 advice_queue::known_machine* advice_queue::least_busy(std::size_t from,
                                                       bool takes_long,
                                                       base::instant now) const
@@ -102,7 +103,8 @@
         auto* to = least_busy(takes_long ? kept : 0, takes_long, now);
         if (to == nullptr && m_asking == 0)
         {
-            // All are avoided: better to try than to wait for nothing.
+            // All machines are being avoided: trying one is better than
+            // waiting.
             to = m_candidates.front();
         }
         if (to != nullptr)
--- a/libraries/cell/advice_queue.hpp
+++ b/libraries/cell/advice_queue.hpp
@@ -13,35 +13,39 @@
 namespace berylhill::cell
 {
 
-/// Which question for advice is asked next, and by which machine. The service
-/// handles one question at a time for each machine that asks, in turn; so a
-/// question waits here until a machine is free for it, and not behind others
-/// there. Answers the load after a change of owner, when all steps ask at
-/// once: an urgent question takes 10 ms of the service, one of a gang a
-/// second, and behind those urgent work waited for 0.8 s.
+/// Chooses the next advice request and the process that sends it. The service
+/// handles one request at a time for each client machine, in order of arrival,
+/// so a request waits here until a machine is free instead of behind others at
+/// the service.
 ///
-/// Pure: time comes with each call. Not thread-safe.
+/// This matters after a change of owner, when all steps ask at once: a request
+/// for urgent work takes 10 ms at the service and one for a gang takes a
+/// second, and urgent work waited 0.8 s behind those.
+///
+/// Pure: the time is passed to each call. Not thread-safe.
 class advice_queue
 {
 public:
-    /// Where a question goes. A value.
+    /// The process that sends a request. A value.
     struct assignment
     {
         std::uint64_t question{0};
-        /// Empty: this process.
+        /// Address of the process; empty for this process.
         network::socket_address machine;
 
         friend bool operator==(assignment const&, assignment const&) = default;
     };
 
-    /// Precondition: the number is new.
+    /// Adds a request. Precondition: the number is new.
     void add(std::uint64_t question, scheduler::advice_order const& order);
 
-    /// The next question that a machine is free for; `others` live now.
+    /// Returns the next request that a free machine can send. `others` are the
+    /// other live processes.
     [[nodiscard]] std::optional<assignment>
     next(std::vector<peer> const& others, base::instant now);
 
-    /// A question that a machine asked has ended.
+    /// Reports that a request sent by the machine `by` has ended. Precondition:
+    /// `next` assigned it.
     void
     ended(network::socket_address const& by, bool answered, base::instant now);
 
@@ -51,7 +55,7 @@
     }
 
 private:
-    /// What a question's turn depends on, the first of all before the rest.
+    /// Sort key of a waiting request, compared member by member.
     struct turn
     {
         bool takes_long{false};
@@ -80,8 +84,8 @@
     std::map<turn, base::duration> m_waiting;
     machines m_machines;
     std::vector<peer> m_others;
-    /// Those that live now, in the order in which they are asked. Looked at
-    /// for each question, so they are not looked up by name.
+    /// The live machines in order of preference. Pointers avoid a lookup by
+    /// address for each request.
     std::vector<known_machine*> m_candidates;
     std::size_t m_asking{0};
 };
--- a/libraries/cell/batch_waiters.cpp
+++ b/libraries/cell/batch_waiters.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Moves what `chosen` names out of `from`, in its order.
+/// Moves the elements that satisfy `chosen` out of `from`, keeping their order.
 template <class Chosen>
 batch_waiters::list take_where(batch_waiters::list& from, Chosen chosen)
 {
@@ -54,9 +54,9 @@
     return take_unsent();
 }
 
-/// One job may have several clients that wait: a call that got no answer comes
-/// again. Once the job is taken back none of them may stay, or the next batch
-/// would tell it that a job is accepted that nobody knows any more.
+/// A client that gets no answer retries, so several clients may wait for one
+/// job. Once the job is withdrawn all of them must be refused; otherwise the
+/// next batch would report a job as accepted that no longer exists.
 batch_waiters::list
 batch_waiters::refuse_unsent(withdraw_function const& withdraw)
 {
--- a/libraries/cell/batch_waiters.hpp
+++ b/libraries/cell/batch_waiters.hpp
@@ -9,53 +9,56 @@
 namespace berylhill::cell
 {
 
-/// A client whose answer waits for records to be stored.
+/// A client whose answer depends on records that are not stored yet.
 struct batch_waiter
 {
     job_answer_handler done;
-    /// What it submitted; 0 where it did not.
+    /// The job that it submitted; 0 for other calls.
     workload::job_id submitted;
-    /// It is not kept longer.
+    /// When the client must be answered at the latest.
     base::instant deadline;
 };
 
-/// The clients of an owner that wait for the store: some for the batch that is
-/// being stored, the others for the next one. Decides who is told what; calls
-/// no handler itself. Pure. Not thread-safe.
+/// The clients of an owner that wait for the store, either for the batch that
+/// is being stored or for the next one. Decides which answer each client gets;
+/// calls no handler itself. Pure. Not thread-safe.
 class batch_waiters
 {
 public:
     using list = std::vector<batch_waiter>;
-    /// Takes a submission back and says whether it did.
+    /// Withdraws a submission; returns whether it was withdrawn.
     using withdraw_function = std::function<bool(workload::job_id)>;
 
-    /// It waits for the next batch.
+    /// Adds a client that waits for the next batch.
     void add(batch_waiter it);
 
-    /// The next batch is sent: all that wait now wait for it. Precondition:
-    /// none is being stored.
+    /// The next batch has been sent: all clients that wait for it now wait for
+    /// its append. Precondition: no batch is being stored.
     void batch_sent();
 
-    /// The batch is surely not stored: its clients wait for the next one.
+    /// The append has certainly failed: its clients wait for the next batch.
     void batch_not_stored();
 
-    /// The batch is stored; returns whose answer that is.
+    /// The batch is stored; returns its clients.
     [[nodiscard]] list batch_stored();
 
-    /// Nothing has to be stored; returns those who wait for nothing.
+    /// There is nothing to store; returns the clients that waited for the next
+    /// batch.
     [[nodiscard]] list nothing_to_store();
 
-    /// Takes back what was submitted and never sent to the store; returns all
-    /// who wait for one of these submissions.
+    /// Withdraws the submissions that were never sent to the store; returns all
+    /// clients that wait for one of them.
     [[nodiscard]] list refuse_unsent(withdraw_function const& withdraw);
 
-    /// Returns those whose time is over.
+    /// Returns the clients whose deadline has passed.
     [[nodiscard]] list expire(base::instant now);
 
-    /// Returns those whose batch was never sent, at the end of the owner.
+    /// Returns the clients whose batch was never sent. Called when ownership
+    /// ends.
     [[nodiscard]] list take_unsent();
 
-    /// Returns those whose batch may be stored, at the end of the owner.
+    /// Returns the clients whose batch may be stored. Called when ownership
+    /// ends.
     [[nodiscard]] list take_sent();
 
 private:
--- a/libraries/cell/byte_budget.cpp
+++ b/libraries/cell/byte_budget.cpp
@@ -15,7 +15,7 @@
 bool byte_budget::try_take(std::size_t bytes, base::instant now)
 {
     constexpr std::int64_t us_per_s = 1'000'000;
-    // No more than fills it, or the product would overflow after days.
+    // Bounded because the product would overflow after days without traffic.
     auto const passed =
         std::min<base::duration>(now - m_at, std::chrono::minutes{1});
     m_left =
--- a/libraries/cell/byte_budget.hpp
+++ b/libraries/cell/byte_budget.hpp
@@ -8,16 +8,17 @@
 namespace berylhill::cell
 {
 
-/// How much may be sent for one purpose, so that what else goes over the link
-/// is not held up. Pure. Not thread-safe.
+/// A token bucket that limits the bytes sent for one purpose, so that other
+/// traffic on the link is not delayed. Pure. Not thread-safe.
 class byte_budget
 {
 public:
-    /// `bytes_per_s` over time, `depth` at once.
+    /// `bytes_per_s` is the sustained rate, `depth` the largest burst in bytes.
     byte_budget(std::int64_t bytes_per_s, std::int64_t depth);
 
-    /// Whether so many bytes may be sent now; they then count. What is larger
-    /// than the depth may be sent too, and what comes after waits for it.
+    /// Returns whether `bytes` may be sent now, and if so deducts them. A
+    /// message larger than the depth is let through; later ones wait until it
+    /// is paid off.
     [[nodiscard]] bool try_take(std::size_t bytes, base::instant now);
 
 private:
--- a/libraries/cell/call_check.cpp
+++ b/libraries/cell/call_check.cpp
@@ -20,7 +20,7 @@
 call_verdict check(job_call const& it,
                    workload::cell_configuration const& newer)
 {
-    // A process of an older version of this program names none.
+    // A process that runs an older release sends no configuration version.
     if (it.configuration == 0 || it.configuration >= newer.version)
     {
         return call_verdict::allowed;
--- a/libraries/cell/call_check.hpp
+++ b/libraries/cell/call_check.hpp
@@ -16,15 +16,15 @@
     no_key,
 };
 
-/// Names where callers reach a queue. Pure; thread-safe.
+/// Hash of the host and path prefix of a queue. Pure; thread-safe.
 [[nodiscard]] std::uint64_t hash_of_route(workload::queue_spec const& it);
 
-/// Names a caller's key. Pure; thread-safe.
+/// Hash of a caller's API key. Pure; thread-safe.
 [[nodiscard]] std::uint64_t digest_of_key(std::string_view key);
 
-/// What a configuration says of a call that may have been decided by an older
-/// one: a process that is behind serves nobody that the owner's version would
-/// refuse. Pure; thread-safe.
+/// Checks a call against the owner's configuration. The call may have been
+/// accepted by a process with an older version, which must not serve callers
+/// that the owner's version refuses. Pure; thread-safe.
 [[nodiscard]] call_verdict check(job_call const& it,
                                  workload::cell_configuration const& newer);
 
--- a/libraries/cell/call_router.cpp
+++ b/libraries/cell/call_router.cpp
@@ -11,16 +11,16 @@
 namespace
 {
 
-/// A client is answered this much before its time is over.
+/// A client is answered this long before its timeout.
 constexpr base::duration answer_margin = std::chrono::milliseconds{150};
 
-/// A change of owner takes about a second; a client of which no owner has
-/// heard is not kept longer, and is told when to come back.
+/// A change of owner takes about a second. A call that has reached no owner by
+/// then is refused with a time to retry after.
 constexpr base::duration longest_search = std::chrono::milliseconds{1'500};
-/// Between two looks for an owner.
+/// Pause before the next attempt to reach an owner.
 constexpr base::duration retry_pause = std::chrono::milliseconds{40};
 
-/// Between two looks whether the owner that was asked still owns.
+/// How often the router checks that the called owner still owns the work.
 constexpr base::duration owner_look = std::chrono::milliseconds{50};
 
 } // namespace
@@ -39,15 +39,15 @@
     job_call call;
     job_answer_handler done;
     boost::asio::steady_timer timer;
-    /// Until an owner is searched for that no owner has heard of it.
+    /// Until when an owner is searched for, if none has received the call.
     base::instant search_until{};
-    /// Until the client is answered.
+    /// When the client must be answered.
     base::instant answer_by{};
-    /// An owner may have acted on it.
+    /// An owner may have acted on the call.
     bool maybe_done{false};
-    /// Counts the questions to owners: answers to those given up are late.
+    /// Number of the current attempt; answers to earlier attempts are late.
     std::uint32_t asked{0};
-    /// The token of the owner asked last.
+    /// Token of the owner that was called last.
     std::uint64_t asked_token{0};
 };
 
@@ -110,9 +110,9 @@
     watch_owner(it, it->asked);
 }
 
-/// A store that is slow keeps an owner from answering for a second and more. An
-/// owner that is lost does not answer at all: the others find that out sooner
-/// than any client's time is over.
+/// A slow store can delay an owner's answer for more than a second, while a
+/// lost owner never answers. The other processes detect a lost owner before any
+/// client's timeout expires.
 void call_router::watch_owner(pending_call_pointer const& it,
                               std::uint32_t asked)
 {
@@ -146,7 +146,8 @@
     }
     if (it->asked != asked)
     {
-        // That owner was given up; what it accepted stands all the same.
+        // The attempt was abandoned, but a job that its owner accepted is
+        // stored.
         if (end.answer && end.answer->kind == job_answer_kind::accepted)
         {
             finish(it, *end.answer);
@@ -165,8 +166,8 @@
     owner_answered(it, *end.answer);
 }
 
-/// An owner that loses or gives up its right sends its callers on to the next
-/// one.
+/// Handles the answer of an owner. If the owner has lost or released ownership,
+/// the call goes to the next owner.
 void call_router::owner_answered(pending_call_pointer const& it,
                                  job_answer const& answer)
 {
@@ -215,7 +216,7 @@
     auto given = answer;
     if (given.kind == job_answer_kind::refused && it->maybe_done)
     {
-        // A former owner may have stored it.
+        // A former owner may have stored the change.
         given.kind = job_answer_kind::outcome_unknown;
     }
     --m_under_way;
--- a/libraries/cell/call_router.hpp
+++ b/libraries/cell/call_router.hpp
@@ -15,13 +15,14 @@
 namespace berylhill::cell
 {
 
-/// Brings each call of a client to the owner, wherever that is, and goes on
-/// to the next owner when one is lost meanwhile: the calls may arrive twice.
-/// Lives on the event loop.
+/// Forwards each client call to the owner, in this process or another, and
+/// retries with the next owner if ownership changes meanwhile. A call may
+/// therefore arrive twice. Lives on the event loop.
 class call_router
 {
 public:
-    /// The owner of this process; null while it does not own.
+    /// Calls the owner in this process; returns false if this process does not
+    /// own the work.
     using local_function =
         std::function<bool(job_call const&, job_answer_handler const&)>;
 
@@ -31,10 +32,10 @@
                 ownership const& owner,
                 local_function local);
 
-    /// `done` is called once, before the client's patience is over.
+    /// `done` is called once, before the call's timeout expires.
     void call(job_call it, job_answer_handler done);
 
-    /// Calls that wait for an owner or its answer.
+    /// The number of calls that wait for an owner or for its answer.
     [[nodiscard]] std::size_t under_way() const noexcept
     {
         return m_under_way;
--- a/libraries/cell/cell_owner.cpp
+++ b/libraries/cell/cell_owner.cpp
@@ -13,13 +13,14 @@
 namespace
 {
 
-/// Between two looks at what time brings: retries, lapses, waiting clients.
+/// Interval of the timer that handles retries, lease expiry and client
+/// deadlines.
 constexpr base::duration tick = std::chrono::milliseconds{10};
 
-/// When the store has refused everything for so long, new work is refused too.
+/// New work is refused once the store has refused all appends for this long.
 constexpr base::duration refused_limit = std::chrono::milliseconds{600};
 
-/// The list of instances changes each heartbeat; this bounds how often it is
+/// The instance log changes with each heartbeat; this limits how often it is
 /// read.
 constexpr follow_options instances_pace{
     std::chrono::milliseconds{500}, std::chrono::milliseconds{250},
@@ -63,7 +64,8 @@
 cell_owner::~cell_owner()
 {
     *m_alive = false;
-    // What was never sent to the store is surely not done.
+    // Calls whose records were never sent to the store have certainly not taken
+    // effect.
     for (auto const& it : m_waiting.take_unsent())
     {
         it.done({job_answer_kind::not_owner, {}, 0, {}});
@@ -179,7 +181,7 @@
     wait_for_batch(it, std::move(done));
 }
 
-/// Several events that come together lead to one round of decisions and one
+/// Coalesces events that arrive together into one scheduling round and one
 /// batch.
 void cell_owner::schedule_round()
 {
@@ -296,7 +298,8 @@
     {
         return;
     }
-    // The handler ends this object, so it runs when nothing of it does.
+    // The handler destroys this object, so it must not run within one of its
+    // functions.
     boost::asio::post(*m_parts.loop,
                       [alive = m_alive, handler = m_on_ownership_lost, why]
                       {
--- a/libraries/cell/cell_owner.hpp
+++ b/libraries/cell/cell_owner.hpp
@@ -25,7 +25,7 @@
 namespace berylhill::cell
 {
 
-/// What an owner works with; all outlive it.
+/// The services that an owner uses; all must outlive it.
 struct owner_parts
 {
     boost::asio::io_context* loop{nullptr};
@@ -39,17 +39,17 @@
     store_latency* latency{nullptr};
 };
 
-/// The owner's part of a process, from its claim until it loses or gives up
-/// its right: joins the decisions to the store and the instances. Lives on
-/// the event loop.
+/// Runs the work of the cell while this process owns it, from its claim until
+/// it loses or releases ownership: connects the scheduler's decisions with the
+/// store and the instances. Lives on the event loop.
 class cell_owner
 {
 public:
-    /// Called at most once, when another owner has been seen.
+    /// Called at most once, when another owner has been detected.
     using ownership_lost_handler = std::function<void(char const* why)>;
 
-    /// `token` is the claim's; `next` the offset that follows it; `records`
-    /// the newest ones before the claim.
+    /// `token` is the fencing token of the claim, `next` the offset after the
+    /// claim, and `records` the newest record of each key before the claim.
     cell_owner(owner_parts parts,
                scheduler::policy rules,
                workload::cell_configuration const& configuration,
@@ -60,16 +60,16 @@
     cell_owner(cell_owner const&) = delete;
     cell_owner& operator=(cell_owner const&) = delete;
 
-    /// Callers that wait are answered.
+    /// Answers all waiting callers.
     ~cell_owner();
 
     void set_configuration(workload::cell_configuration const& it);
 
-    /// `done` is called once, from within or later.
+    /// `done` is called once, from within this call or later.
     void call(job_call const& it, job_answer_handler done);
 
-    /// Gives the right up: nothing new is decided; `done` is called when what
-    /// is being stored is stored, or `limit` later.
+    /// Releases ownership: makes no new decisions and calls `done` once the
+    /// current append has ended, or after `limit`.
     void release(base::duration limit, std::function<void()> done);
 
     [[nodiscard]] std::uint64_t token() const noexcept
@@ -77,7 +77,7 @@
         return m_token;
     }
 
-    /// How long the store has not taken what should be stored.
+    /// How long records have been waiting without any being stored.
     [[nodiscard]] base::duration store_stuck() const
     {
         return m_store_blocked_since
@@ -85,11 +85,11 @@
                    : base::duration{0};
     }
 
-    /// The store has taken nothing for longer than it takes when it is merely
-    /// slow: new work would only wait.
+    /// The store has accepted nothing for longer than a slow append takes, so
+    /// new work is refused.
     [[nodiscard]] bool store_blocked() const;
 
-    /// The store answers, and takes nothing from this process.
+    /// The store answers but refuses appends of this process.
     [[nodiscard]] bool store_refuses() const noexcept
     {
         return m_batch_taken_back || m_append.refused();
@@ -142,13 +142,13 @@
     hold_list m_holds;
     std::uint64_t m_batches_taken{0};
     std::uint64_t m_batches_stored{0};
-    /// When the open batch got its first content.
+    /// When the open batch received its first record.
     std::optional<base::instant> m_open_since;
-    /// Since when something should be stored and is not.
+    /// Since when records have been waiting for the store; empty if none are.
     std::optional<base::instant> m_store_blocked_since;
     /// A batch was taken back, and none has been stored since.
     bool m_batch_taken_back{false};
-    /// The store is left alone until then.
+    /// No append is sent before this time.
     base::instant m_next_append{};
     batch_waiters m_waiting;
     std::function<void()> m_released;
--- a/libraries/cell/cell_owner_batch.cpp
+++ b/libraries/cell/cell_owner_batch.cpp
@@ -9,20 +9,21 @@
 namespace
 {
 
-/// Between two tries to store while the store refuses: it counts and prices
-/// the calls that it refuses.
+/// Pause between appends while the store refuses them: it counts and bills
+/// refused calls.
 constexpr base::duration append_pause = std::chrono::milliseconds{200};
 
-/// How long a batch may gather. An answer to a short question for advice
-/// takes about as long, so most jobs come with their first starts in it.
+/// How long a batch collects records before it is sent. An answer to a short
+/// advice request takes about as long, so most jobs are stored together with
+/// their first starts.
 constexpr base::duration batch_linger = std::chrono::milliseconds{30};
 
-/// With starts in it, or something else that somebody waits for. The most
-/// urgent work has half a second to start.
+/// The same for a batch that contains starts or other records that somebody
+/// waits for. The most urgent work must start within half a second.
 constexpr base::duration urgent_linger = std::chrono::milliseconds{10};
 
-/// A client whose submission may be stored hears that the outcome is not known
-/// so long before its time is over: it has no use for that any sooner.
+/// A client whose submission may be stored is told that the outcome is unknown
+/// this long before its deadline; an earlier answer would not help it.
 constexpr base::duration answer_margin = std::chrono::milliseconds{100};
 
 } // namespace
@@ -36,8 +37,8 @@
     schedule_round();
 }
 
-/// While the store takes nothing, those whose submission has not been sent to
-/// it are told at once that it does not run.
+/// Refuses the clients whose submission has not been sent while the store is
+/// blocked.
 void cell_owner::refuse_unsent()
 {
     auto const refused = m_waiting.refuse_unsent(
@@ -58,8 +59,8 @@
                         {"token", m_token}});
 }
 
-/// A store that refuses has surely not stored the batch: what is in it goes
-/// back, so that its clients can be told.
+/// Takes back a batch that the store has refused, so that its clients can be
+/// answered.
 void cell_owner::take_back_batch()
 {
     if (!m_append.take_back())
@@ -72,8 +73,8 @@
     m_next_append = m_parts.clock->now() + append_pause;
 }
 
-/// A batch without anything that somebody waits for gathers for a moment: a
-/// new job then comes with its first starts, and several ends come together.
+/// Returns whether the open batch waits for more records, so that a new job is
+/// stored with its first starts and several ended attempts are stored together.
 bool cell_owner::lingers(base::instant now) const
 {
     auto const limit =
@@ -107,7 +108,7 @@
     }
     else
     {
-        // A client may wait for a batch that is already stored.
+        // A client may wait for records that are already stored.
         answer_accepted(m_waiting.nothing_to_store());
         return;
     }
@@ -156,8 +157,7 @@
     }
 }
 
-/// A client whose time is nearly over hears that the outcome is not known,
-/// and asks again.
+/// Answers clients whose deadline is near with an unknown outcome; they retry.
 void cell_owner::expire_waiting()
 {
     for (auto const& it : m_waiting.expire(m_parts.clock->now()))
--- a/libraries/cell/cell_owner_orders.cpp
+++ b/libraries/cell/cell_owner_orders.cpp
@@ -8,17 +8,17 @@
 namespace
 {
 
-/// Until a start without an answer counts as unanswered. An instance answers
-/// in milliseconds; the decision is repeated, so this only costs time.
+/// Timeouts of start and stop orders. Instances answer within milliseconds, and
+/// an order without an answer is repeated, so a timeout only costs time.
 constexpr base::duration start_timeout = std::chrono::milliseconds{400};
 constexpr base::duration stop_timeout = std::chrono::milliseconds{600};
 
-/// Added to the time that an instance may wait before it answers a hold.
+/// Added to the time that an instance may keep a hold request open.
 constexpr base::duration hold_slack = std::chrono::milliseconds{400};
 
-/// How many instances a round asks: a small part of a cell of thousands, so
-/// that a new owner also answers those who watch it; between two rounds others
-/// have the loop for twice as long.
+/// Hold requests per scheduling round: a small part of a cell with thousands of
+/// instances, so that a new owner also answers the processes that watch it.
+/// Between two rounds the event loop serves others for twice as long.
 constexpr std::size_t most_holds = 100;
 
 } // namespace
@@ -124,8 +124,8 @@
     {
         return hold_list::standing::gone;
     }
-    // What is listed under a service that no queue goes to may be another's
-    // entry, at an address that is not to be called.
+    // An entry of a service that no queue uses may belong to another system, at
+    // an address that must not be called.
     auto const& info = at->second->info();
     if (info.address.empty() || !m_decisions.serves(info.service))
     {
--- a/libraries/cell/compressed_text.cpp
+++ b/libraries/cell/compressed_text.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// What is made room for at a time.
+/// Growth step of the output buffer.
 constexpr std::size_t piece = std::size_t{64} * 1024;
 
 Bytef const* bytes_of(std::string_view it)
@@ -20,7 +20,8 @@
 
 base::failure unreadable(char const* why)
 {
-    return {base::failure_code::invalid, std::string{"packed text: "} + why, 0};
+    return {base::failure_code::invalid, std::string{"compressed text: "} + why,
+            0};
 }
 
 } // namespace
@@ -32,7 +33,7 @@
     auto const end =
         ::compress2(reinterpret_cast<Bytef*>(out.data()), &size, bytes_of(text),
                     static_cast<uLong>(text.size()), Z_BEST_SPEED);
-    // It fails only where the room is less than its bound.
+    // Fails only if the buffer is smaller than its bound.
     out.resize(end == Z_OK ? size : 0);
     return out;
 }
@@ -43,7 +44,7 @@
     z_stream stream{};
     if (::inflateInit(&stream) != Z_OK)
     {
-        return base::fail(unreadable("no memory"));
+        return base::fail(unreadable("out of memory"));
     }
     stream.next_in = const_cast<Bytef*>(bytes_of(it));
     stream.avail_in = static_cast<uInt>(it.size());
@@ -66,7 +67,7 @@
     }
     if (end != Z_STREAM_END)
     {
-        return base::fail(unreadable("cut or bad"));
+        return base::fail(unreadable("truncated or corrupt"));
     }
     return out;
 }
--- a/libraries/cell/configuration_spread.cpp
+++ b/libraries/cell/configuration_spread.cpp
@@ -8,17 +8,18 @@
 namespace
 {
 
-/// A process that read the store so recently is let read the new version
-/// there: all read it at about the same time, and would all ask one.
+/// A process that has read the store this recently is given `read_takes` to
+/// read the new version itself: all processes read it at about the same time,
+/// and all would fetch it from one process.
 constexpr base::duration recent_read = std::chrono::milliseconds{1'200};
 constexpr base::duration read_takes = std::chrono::milliseconds{200};
 
-/// Until another process has begun to answer with its configuration; each that
-/// does not is given twice the time.
+/// Time to the first byte of a fetched configuration, doubled after each
+/// failure up to the limit.
 constexpr base::duration least_fetch_patience = std::chrono::milliseconds{600};
 constexpr base::duration most_fetch_patience = std::chrono::milliseconds{2'400};
 
-/// What was never confirmed is older than any limit.
+/// Age of a version that was never confirmed: above any limit.
 constexpr base::duration unconfirmed = std::chrono::hours{1};
 
 } // namespace
--- a/libraries/cell/configuration_spread.hpp
+++ b/libraries/cell/configuration_spread.hpp
@@ -11,19 +11,19 @@
 enum class fetch_end : std::uint8_t
 {
     received,
-    /// It was not reached, or has copies enough under way.
+    /// The process was not reached, or already sends as many copies as it may.
     rejected,
-    /// No answer, or none that can be read.
+    /// No answer, or an unreadable one.
     failed,
 };
 
-/// How the configuration gets to a process that the store turns away: the
-/// version in force travels with the questions and answers between processes,
-/// and whoever is behind fetches it from one that has it.
+/// Decides when a process that cannot read the store fetches the configuration
+/// from another process. The version in force is part of the messages between
+/// processes, and a process with an older version fetches the newer one.
 ///
-/// Answers a store that serves some processes and not others while routes and
-/// keys are added and taken away. A process that reaches the store reads each
-/// version there within a few milliseconds, so it asks nobody.
+/// Needed where the store serves some processes and not others while routes and
+/// keys are added and removed. A process that reaches the store reads each
+/// version there within milliseconds and fetches nothing.
 ///
 /// Pure. Not thread-safe.
 class configuration_spread
@@ -31,21 +31,21 @@
 public:
     configuration_spread();
 
-    /// A read reached the end of the operators' log: what this process has was
-    /// the newest then.
+    /// A read reached the end of the operators' log: this process had the
+    /// newest version at `as_of`.
     void on_store_read(base::instant as_of)
     {
         confirm(as_of);
     }
 
-    /// Another process has this version, by its question. Returns whether to
-    /// fetch it there now. Precondition: `own` is the version that this
-    /// process has.
+    /// Another process reported its version in a request. Returns whether to
+    /// fetch that version now. Precondition: `own` is the version of this
+    /// process.
     [[nodiscard]] bool
     on_version_heard(std::int64_t version, std::int64_t own, base::instant now);
 
-    /// As above, by its answer to a question that was sent at `asked_at`: what
-    /// it says held then, at the earliest.
+    /// As above, for a version reported in the answer to a request that was
+    /// sent at `asked_at`. The reported age is counted from then.
     [[nodiscard]] bool on_version_heard(configuration_age const& it,
                                         base::instant asked_at,
                                         std::int64_t own,
@@ -54,13 +54,13 @@
     /// A fetch has ended.
     void on_fetch_ended(fetch_end it);
 
-    /// Until a fetch has to have begun to be answered.
+    /// How long to wait for the first byte of a fetch's answer.
     [[nodiscard]] base::duration fetch_timeout() const noexcept
     {
         return m_fetch_timeout;
     }
 
-    /// This process has this version now.
+    /// This process now has this version.
     void on_version_installed(std::int64_t version);
 
     /// The newest version that another process has named.
@@ -69,10 +69,11 @@
         return m_newest;
     }
 
-    /// How long this process has known of a newer version than its own.
+    /// How long this process has known of a newer version than its own; 0 if it
+    /// knows of none.
     [[nodiscard]] base::duration behind(base::instant now) const;
 
-    /// How long ago what this process has was known to be the newest.
+    /// How long ago the version of this process was known to be the newest.
     [[nodiscard]] base::duration age(base::instant now) const;
 
 private:
--- a/libraries/cell/configuration_state.hpp
+++ b/libraries/cell/configuration_state.hpp
@@ -8,11 +8,11 @@
 namespace berylhill::cell
 {
 
-/// A version of the configuration that a process has, and how long ago it was
-/// known to be the newest. A value.
+/// The configuration version of a process, and how long ago it was known to be
+/// the newest. A value.
 struct configuration_age
 {
-    /// 0: none yet.
+    /// 0: no configuration yet.
     std::int64_t version{0};
     base::duration age{0};
 
@@ -25,7 +25,8 @@
 {
     std::string key;
     std::string value;
-    /// All records of the operators' log before this offset are older, or it.
+    /// Offset in the operators' log up to which this is the newest
+    /// configuration.
     std::uint64_t next{0};
 
     friend bool operator==(configuration_record const&,
--- a/libraries/cell/documents.hpp
+++ b/libraries/cell/documents.hpp
@@ -12,8 +12,8 @@
 namespace berylhill::cell
 {
 
-/// Reads what the operator and the instances write into the store. Pure;
-/// thread-safe.
+/// Decodes the records that the operator and the instances write into the
+/// store. Pure; thread-safe.
 class documents
 {
 public:
@@ -22,18 +22,18 @@
     documents& operator=(documents const&) = delete;
     virtual ~documents() = default;
 
-    /// The configuration, where `key` is its key. Fails with `invalid` where
-    /// the value cannot be read.
+    /// Returns the configuration if `key` is its key, otherwise nothing. Fails
+    /// with `invalid` if the value cannot be read.
     [[nodiscard]] virtual base::result<
         std::optional<workload::cell_configuration>>
     configuration(std::string_view key, std::string_view value) const = 0;
 
-    /// The instance that this entry is about; its value may be empty, which
-    /// says that the instance is gone.
+    /// Returns the id of the instance that this entry describes. Also valid for
+    /// entries with an empty value, which remove the instance.
     [[nodiscard]] virtual std::string
     instance_id(std::string_view key) const = 0;
 
-    /// Fails with `invalid`.
+    /// Decodes the entry of an instance. Fails with `invalid`.
     [[nodiscard]] virtual base::result<scheduler::instance_info>
     instance(std::string_view key, std::string_view value) const = 0;
 };
--- a/libraries/cell/hold_list.hpp
+++ b/libraries/cell/hold_list.hpp
@@ -12,59 +12,63 @@
 namespace berylhill::cell
 {
 
-/// The turns of all instances, and which of them are to be asked now. In a
-/// cell of thousands of instances nearly all have a question under way, and
-/// what is due is looked for hundreds of times a second: so only those without
-/// one are looked at. Pure. Not thread-safe.
+/// Schedules the hold requests to all instances. In a cell of thousands of
+/// instances nearly all have a request in flight, and due ones are searched for
+/// hundreds of times a second, so only instances without a request in flight
+/// are examined. Pure. Not thread-safe.
 class hold_list
 {
 public:
-    /// What is known of an instance whose question may be due.
+    /// State of an instance that may be due for a request.
     enum class standing : std::uint8_t
     {
-        /// It may be asked.
+        /// A request may be sent.
         callable,
-        /// As `callable`, and before the others: work there is to be heard of.
+        /// As `callable`, but served first: its running work may have news.
         holds_work,
-        /// Not now; it may be later.
+        /// No request may be sent now.
         not_callable,
-        /// It is not known any more.
+        /// The instance is unknown and is removed from the list.
         gone,
     };
 
     using standing_function = std::function<standing(std::string const& id)>;
 
-    /// The instance is listed; does nothing where it was before.
+    /// Adds an instance; does nothing if it is known.
     void add(std::string const& id);
 
-    /// Those whose question is due, so many at most, which are then taken as
-    /// asked. `stored` batches have been stored so far. Forgets those that are
-    /// gone. A new owner asks all instances, and at thousands of them would
-    /// answer nobody else meanwhile: the others took it for lost.
+    /// Returns at most `most` instances whose request is due, and marks their
+    /// requests as sent. `stored` is the number of batches stored so far.
+    /// Removes instances that are gone.
+    ///
+    /// The limit is for a new owner, which has to ask all instances: while it
+    /// asked thousands at once it answered nobody, and the other processes
+    /// considered it lost.
     [[nodiscard]] std::vector<std::string>
     take_due(base::instant now,
              std::uint64_t stored,
              std::size_t most,
              standing_function const& standing_of);
 
-    /// It reported; `batch` is the one that holds the ends it listed, 0 where
-    /// it listed none. The next question is due `rest` later, or when it is
-    /// woken. Precondition: it was taken.
+    /// The instance reported. `batch` is the batch that holds the ended
+    /// attempts in its report, 0 if there were none. The next request is due
+    /// after `rest`, or when the instance is woken. Precondition: its request
+    /// was in flight.
     void reported(std::string const& id,
                   base::instant now,
                   std::uint64_t batch,
                   base::duration rest = base::duration{0});
 
-    /// It gave no report. Precondition: it was taken.
+    /// The request failed. Precondition: it was in flight.
     void failed(std::string const& id, base::instant now);
 
-    /// Something is to be heard from it, also while it rests. Does nothing
-    /// where it is not known.
+    /// Makes the next request due at once, even during a rest. Does nothing if
+    /// the instance is unknown.
     void wake(std::string const& id);
 
 private:
     std::map<std::string, hold_turn> m_turns;
-    /// Those without a question under way.
+    /// Instances without a request in flight.
     std::set<std::string> m_idle;
 };
 
--- a/libraries/cell/hold_turn.cpp
+++ b/libraries/cell/hold_turn.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/// Between two tries to reach an instance that does not answer.
+/// Pause before the next request to an instance that did not answer.
 constexpr base::duration retry_pause = std::chrono::milliseconds{200};
 
 } // namespace
--- a/libraries/cell/hold_turn.hpp
+++ b/libraries/cell/hold_turn.hpp
@@ -7,16 +7,16 @@
 namespace berylhill::cell
 {
 
-/// When the next question to one instance is due. An instance answers when
-/// something ends there, and repeats its ends until it is told that they are
-/// stored; so after a report with ends the next question waits until it can say
-/// that. The load that this answers: hundreds of ends a second on instances
-/// that run eight tasks each, where each question is paid for. Pure. Not
-/// thread-safe.
+/// Decides when the next hold request to one instance is due. An instance
+/// answers when an attempt ends, and repeats ended attempts until it is told
+/// that they are stored; so after a report with ended attempts the next request
+/// waits until it can confirm them. This keeps the number of requests, which
+/// are billed, low at hundreds of ended attempts a second on instances that run
+/// eight tasks each. Pure. Not thread-safe.
 class hold_turn
 {
 public:
-    /// `stored` batches have been stored so far.
+    /// `stored` is the number of batches stored so far.
     [[nodiscard]] bool due(base::instant now, std::uint64_t stored) const;
 
     [[nodiscard]] bool asking() const noexcept
@@ -29,16 +29,17 @@
         m_asking = true;
     }
 
-    /// It reported; `batch` is the one that holds the ends it listed, 0 where
-    /// it listed none. The next question is due `rest` later.
+    /// The instance reported. `batch` is the batch that holds the ended
+    /// attempts in its report, 0 if there were none. The next request is due
+    /// after `rest`.
     void reported(base::instant now,
                   std::uint64_t batch,
                   base::duration rest = base::duration{0});
 
-    /// It gave no report.
+    /// The request failed.
     void failed(base::instant now);
 
-    /// Something is to be heard from it: a rest is over.
+    /// Ends the rest: the next request is due at once.
     void wake() noexcept
     {
         m_next = {};
--- a/libraries/cell/instance_link.hpp
+++ b/libraries/cell/instance_link.hpp
@@ -11,13 +11,14 @@
 namespace berylhill::cell
 {
 
-/// Whom an order goes to, and under whose right. A value.
+/// The recipient of an order and the owner's fencing token. A value.
 struct order_target
 {
     network::socket_address address;
-    /// The life of the instance that is meant.
+    /// Id of the incarnation that is meant.
     std::string instance;
-    /// The owner's token; instances refuse lower ones than they have seen.
+    /// The owner's fencing token; instances refuse tokens lower than the
+    /// highest they have seen.
     std::uint64_t token{0};
 
     friend bool operator==(order_target const&, order_target const&) = default;
@@ -26,7 +27,8 @@
 struct start_result
 {
     scheduler::start_answer answer{scheduler::start_answer::unanswered};
-    /// The instance's clock in milliseconds; 0 where it was not told.
+    /// The instance's clock in milliseconds; 0 if the answer did not contain
+    /// it.
     std::int64_t clock_ms{0};
 };
 
@@ -42,7 +44,7 @@
 struct hold_result
 {
     order_end outcome{order_end::unanswered};
-    /// Without the times, which the caller knows.
+    /// Without times, which the caller fills in.
     scheduler::hold_report report;
 };
 
@@ -50,8 +52,8 @@
 using order_handler = std::function<void(order_end)>;
 using hold_handler = std::function<void(hold_result)>;
 
-/// Orders to the instances that run tasks. Handlers are called once each, on
-/// the event loop, `timeout` after the call at the latest.
+/// Sends orders to the instances that run tasks. Each handler is called once,
+/// on the event loop, at most `timeout` after the call.
 class instance_link
 {
 public:
--- a/libraries/cell/job_call.hpp
+++ b/libraries/cell/job_call.hpp
@@ -20,25 +20,24 @@
     pending,
 };
 
-/// For logs and metrics.
+/// The label of the value in logs and metrics.
 [[nodiscard]] char const* name_of(job_call_kind it);
 
-/// What a client asks about jobs. A value.
+/// A client's call about jobs. A value.
 struct job_call
 {
     job_call_kind kind{job_call_kind::status};
     std::string queue;
-    /// The client account of the caller; empty where the queue asks for no
-    /// key.
+    /// The client account of the caller; empty if the queue requires no key.
     std::string account;
-    /// The version of the configuration that it was decided by; 0: not named.
+    /// The configuration version that the call was accepted under; 0: not sent.
     std::int64_t configuration{0};
-    /// Where the queue is reached by that version: `hash_of_route`.
+    /// Hash of the queue's host and path in that version: `hash_of_route`.
     std::uint64_t route_hash{0};
-    /// A hash of the key that the caller showed.
+    /// A hash of the caller's API key.
     std::uint64_t key_digest{0};
     workload::job_id job;
-    /// Of a submission.
+    /// Set for submissions only.
     workload::job_spec spec;
     /// How long the client waits for the answer.
     base::duration timeout{0};
@@ -48,56 +47,59 @@
 
 enum class job_answer_kind : std::uint8_t
 {
-    /// Stored; or, of a cancellation, in force.
+    /// The submission is stored, or the cancellation is in effect.
     accepted,
-    /// The job's phase follows.
+    /// `phase` is set.
     phase,
-    /// A number of jobs follows.
+    /// `pending` is set.
     pending,
     /// No such job exists.
     unknown_job,
-    /// The job belongs to another client account; nothing was done.
+    /// The job belongs to another client account; the call had no effect.
     forbidden,
-    /// Not accepted, and never will be: it needs more than its client account
-    /// may ever have running.
+    /// Not accepted permanently: the job needs more than its client account may
+    /// ever have running.
     over_cap,
-    /// Not accepted, and never will be; the client may come back.
+    /// Not accepted, and the call will have no later effect; the client may
+    /// retry.
     refused,
-    /// Whether it was accepted is not known.
+    /// It is unknown whether the call took effect.
     outcome_unknown,
-    /// Between processes: the one asked owns no longer and has done nothing.
+    /// Between processes: the called process is not the owner and has done
+    /// nothing.
     not_owner,
-    /// Between processes: it lost its right, and may have done it.
+    /// Between processes: the owner lost ownership; the call may have taken
+    /// effect.
     interrupted,
-    /// A newer configuration than the call was decided by has no such queue,
-    /// or the account has no such key; nothing was done.
+    /// The owner's newer configuration has no such queue, or the account has no
+    /// such key; the call had no effect.
     no_queue,
     no_key,
 };
 
-/// For logs and metrics.
+/// The label of the value in logs and metrics.
 [[nodiscard]] char const* name_of(job_answer_kind it);
 
-/// When a client that is refused should come back: about as long as a change
-/// of owner, or a store that was slow for a moment, takes.
+/// Retry time for refused clients: about as long as a change of owner or a
+/// brief slowdown of the store takes.
 inline constexpr base::duration default_retry_after =
     std::chrono::milliseconds{1'000};
 
-/// What a client is told. A value.
+/// The answer to a client's call. A value.
 struct job_answer
 {
     job_answer_kind kind{job_answer_kind::refused};
     scheduler::job_phase phase{scheduler::job_phase::queued};
     std::size_t pending{0};
-    /// Of a refusal: when it is worth coming back.
+    /// When to retry; set for refusals only.
     base::duration retry_after{0};
 
     friend bool operator==(job_answer const&, job_answer const&) = default;
 };
 
-/// Whether a caller of one client account may see and cancel a job of another.
-/// Jobs of callers without a key belong to nobody, and queues that ask for no
-/// key are open to all.
+/// Returns whether a caller of one client account may see and cancel a job of
+/// another. Jobs submitted without a key belong to no account, and queues that
+/// require no key are open to all.
 [[nodiscard]] inline bool may_use(std::string const& caller,
                                   std::string const& owner)
 {
--- a/libraries/cell/job_protocol.hpp
+++ b/libraries/cell/job_protocol.hpp
@@ -11,29 +11,29 @@
 namespace berylhill::cell
 {
 
-/// What a request is refused for.
+/// Why a request is refused.
 enum class refusal_ground : std::uint8_t
 {
-    /// It is wrong by itself.
+    /// The request itself is invalid.
     request,
-    /// The configuration allows no such call: another version may.
+    /// The configuration in force does not allow the call; another version may.
     configuration,
 };
 
-/// A request that makes no call. A value.
+/// A request that does not lead to a call. A value.
 struct refused_request
 {
     refusal_ground reason{refusal_ground::request};
     network::http_response response;
-    /// Of a key that nobody has, so that its owner can be told why: a hash,
-    /// not the key; empty where none was shown.
+    /// A hash of an unknown API key, so that the caller can be identified in
+    /// the log without the key; empty if the request had none.
     std::string key_digest;
 
     friend bool operator==(refused_request const&,
                            refused_request const&) = default;
 };
 
-/// What clients of jobs send and are sent. Pure; thread-safe.
+/// Decodes requests about jobs and encodes the answers. Pure; thread-safe.
 class job_protocol
 {
 public:
@@ -42,7 +42,7 @@
     job_protocol& operator=(job_protocol const&) = delete;
     virtual ~job_protocol() = default;
 
-    /// The call that a request makes, or why it makes none.
+    /// Returns the call that a request makes, or why it is refused.
     [[nodiscard]] virtual std::variant<job_call, refused_request>
     decode(network::http_request const& it,
            workload::cell_configuration const& configuration) const = 0;
--- a/libraries/cell/keyed_log.hpp
+++ b/libraries/cell/keyed_log.hpp
@@ -12,7 +12,7 @@
 namespace berylhill::cell
 {
 
-/// A record of a keyed log with its offset; an empty value drops the key.
+/// A record of a keyed log and its offset; an empty value deletes the key.
 struct log_entry
 {
     std::uint64_t offset{0};
@@ -25,22 +25,22 @@
 enum class append_end : std::uint8_t
 {
     stored,
-    /// The log does not end where the caller said.
+    /// The log does not end at the given offset.
     conflict,
-    /// The store says that nothing was done.
+    /// The store answered that it did nothing.
     refused,
     /// The store is full.
     full,
-    /// It may be stored, now or later.
+    /// No answer: the records may be stored, now or later.
     unanswered,
 };
 
 struct append_result
 {
     append_end outcome{append_end::unanswered};
-    /// Of the first record, where it is stored.
+    /// Offset of the first record, if stored.
     std::uint64_t offset{0};
-    /// Where the log ends, where that is known.
+    /// End offset of the log, if known.
     std::uint64_t log_end{0};
 
     friend bool operator==(append_result const&,
@@ -50,24 +50,24 @@
 enum class read_end : std::uint8_t
 {
     read,
-    /// Records from there on have been deleted.
+    /// The records at the offset have been deleted.
     trimmed,
     /// Nothing was read.
     failed,
-    /// The store took the question, and no whole answer came in time.
+    /// The request was sent, but no complete answer came in time.
     unanswered,
 };
 
-/// What is read of a log. A value.
+/// A read request. A value.
 struct read_question
 {
     /// The first offset.
     std::uint64_t from{0};
     /// How long the store may wait for a first record.
     base::duration wait{0};
-    /// How much an answer may hold; a single larger record comes alone.
+    /// Size limit of the answer; a single larger record is returned alone.
     std::size_t max_bytes{0};
-    /// Until the call is given up.
+    /// Timeouts of the call.
     network::call_patience timeouts{base::duration{0}};
 
     friend bool operator==(read_question const&,
@@ -79,9 +79,9 @@
     read_end outcome{read_end::failed};
     std::uint64_t log_end{0};
     std::vector<log_entry> entries;
-    /// Of the answer, for logs; 0: there was none.
+    /// HTTP status of the answer, for logs; 0: no answer.
     unsigned http_status{0};
-    /// Of an answer that did not come whole: its bytes that came.
+    /// Bytes received of an incomplete answer.
     std::uint64_t bytes_received{0};
 
     friend bool operator==(read_result const&, read_result const&) = default;
@@ -91,10 +91,10 @@
 {
     bool answered{false};
     std::uint64_t log_end{0};
-    /// More follow after the last key.
+    /// There are more keys after the last one.
     bool truncated{false};
     std::vector<log_entry> entries;
-    /// Of an answer that did not come whole: its bytes that came.
+    /// Bytes received of an incomplete answer.
     std::uint64_t bytes_received{0};
 
     friend bool operator==(newest_result const&,
@@ -105,9 +105,9 @@
 using read_handler = std::function<void(read_result)>;
 using newest_handler = std::function<void(newest_result)>;
 
-/// One log of the platform's store that keeps the newest record of each key.
-/// Handlers are called once each, on the event loop, when the patience is over
-/// at the latest and never from within the call.
+/// A log of the platform's store that keeps the newest record of each key. Each
+/// handler is called once, on the event loop, when the timeout expires at the
+/// latest and never from within the call.
 class keyed_log
 {
 public:
@@ -116,7 +116,7 @@
     keyed_log& operator=(keyed_log const&) = delete;
     virtual ~keyed_log() = default;
 
-    /// Appends all records or none, only where the log ends at `at`.
+    /// Appends all records or none, and only if the log ends at `at`.
     virtual void append(std::uint64_t at,
                         std::vector<scheduler::record> const& records,
                         base::duration timeout,
@@ -125,7 +125,7 @@
     virtual network::call_handle read(read_question const& it,
                                       read_handler handler) = 0;
 
-    /// The newest record of each key after `after`; a part of them.
+    /// Reads one page of the newest records: those of the keys after `after`.
     virtual void read_newest(std::string const& after,
                              network::call_patience const& patience,
                              newest_handler handler) = 0;
--- a/libraries/cell/log_follower.cpp
+++ b/libraries/cell/log_follower.cpp
@@ -12,24 +12,24 @@
 namespace
 {
 
-/// Until a page of the newest records has begun to come; each that does not is
-/// given twice the time, up to the limit. A silent connection costs the first
-/// time only.
+/// Time to the first byte of a page of the newest records, doubled after each
+/// timeout up to the limit. A silent connection costs only the first timeout.
 constexpr base::duration page_timeout = std::chrono::milliseconds{1'000};
 constexpr base::duration page_timeout_limit = std::chrono::milliseconds{4'000};
 
-/// A page of which so long no byte comes lies on a silent connection.
+/// A page that makes no progress for this long is on a silent connection.
 constexpr base::duration page_stall = std::chrono::seconds{1};
 
-/// Until it is given up to catch up, if no answer has begun; each time without
-/// one is given twice as long.
+/// Time to the first byte of an answer while catching up, doubled after each
+/// timeout.
 constexpr base::duration least_catch_up_limit = std::chrono::milliseconds{400};
 
-/// Where what was read was so long under way, what has come since is asked for
-/// without a wait: until then nobody can say that this is the newest.
+/// If an answer was in transit for longer than this, the next read does not
+/// wait at the store: until it returns nobody can tell whether the records are
+/// the newest.
 constexpr base::duration longest_as_of = std::chrono::milliseconds{500};
 
-/// A record that a read of so much does not bring is read with the newest
+/// Largest size limit of a read. A larger record is read with the newest
 /// records.
 constexpr std::size_t largest_read = std::size_t{4} * 1024 * 1024;
 
@@ -120,8 +120,8 @@
     }
     if (m_first_page)
     {
-        // Pages are read one after the other while the log grows; what comes
-        // meanwhile is read again from here.
+        // The log may grow while pages are read one after the other; regular
+        // reads start from here.
         m_first_page = false;
         m_pages_from = it.log_end;
     }
@@ -256,8 +256,8 @@
     }
 }
 
-/// There is more, and the read brought nothing: its first record is larger
-/// than what was asked for.
+/// The log has more records, but the read returned none: the next record is
+/// larger than the size limit.
 void log_follower::read_larger()
 {
     if (m_most_bytes >= largest_read)
@@ -297,8 +297,8 @@
         });
 }
 
-/// Written for the first failure in a row, the second, the fourth and so on:
-/// what is lost for long is named again, in few lines.
+/// Logs the first, second, fourth etc. consecutive failure, so that a long
+/// outage is reported repeatedly in few lines.
 void log_follower::failed(char const* what,
                           unsigned status,
                           std::uint64_t received)
--- a/libraries/cell/log_follower.hpp
+++ b/libraries/cell/log_follower.hpp
@@ -17,35 +17,36 @@
 namespace berylhill::cell
 {
 
-/// How a log is followed. A value.
+/// Timing and size limits of reads. A value.
 struct follow_options
 {
-    /// How long a read waits at the store for a record.
+    /// How long a read waits at the store for a record (long poll).
     base::duration wait{std::chrono::milliseconds{1'000}};
-    /// Between the end of a read and the next.
+    /// Pause between the end of a read and the next.
     base::duration pause{std::chrono::milliseconds{50}};
     /// Added to `wait` before a read is overdue.
     base::duration slack{std::chrono::milliseconds{400}};
-    /// After a failed read.
+    /// Pause after a failed read.
     base::duration retry{std::chrono::milliseconds{150}};
-    /// What one read brings at most, but for a single larger record: a
-    /// backlog is worked off in parts, and others have their turns between.
+    /// Size limit of one read, except for a single larger record. A backlog is
+    /// read in parts, so that other work on the event loop gets its turn.
     std::size_t most_bytes{std::size_t{128} * 1024};
 };
 
-/// Keeps up with the newest record of each key of a log: reads them all once,
-/// then what is appended; begins anew when the store has dropped what it
-/// needs. Lives on the event loop.
+/// Follows the newest record of each key of a log: reads all of them once and
+/// then the appended records. Starts over if the store has deleted records that
+/// it still needs. Lives on the event loop.
 class log_follower
 {
 public:
-    /// One change: the key and its new value, empty where it was dropped.
+    /// Called with a key and its new value; the value is empty if the key was
+    /// deleted.
     using change_handler =
         std::function<void(std::string const& key, std::string const& value)>;
-    /// Told after each successful read, when its changes are through.
+    /// Called after each successful read, after its changes.
     using caught_up_handler = std::function<void()>;
-    /// Told when a read has reached the end of the log: since when, at the
-    /// latest, the changes told were all that there were.
+    /// Called when a read has reached the end of the log. The reported changes
+    /// were complete at `as_of` or later.
     using end_reached_handler = std::function<void(base::instant as_of)>;
 
     log_follower(boost::asio::io_context& loop,
@@ -72,33 +73,34 @@
         m_on_end_reached = std::move(it);
     }
 
-    /// Begins, or begins anew from the newest records.
+    /// Starts, or restarts with the newest records.
     void start();
 
-    /// Forgets that it was following; pending reads are ignored.
+    /// Stops following and forgets all keys; pending reads are ignored.
     void stop();
 
-    /// Reads without waiting at the store, then calls `done` with whether the
-    /// read succeeded; the usual reads go on afterwards.
+    /// Reads up to the end of the log without long polling, then calls `done`
+    /// with whether that succeeded; regular reads continue afterwards.
     void catch_up(std::function<void(bool)> done);
 
-    /// What comes before `offset` has become known by another way; nothing
-    /// where it was read already. A read of it that is under way ends.
+    /// Skips the records before `offset`, which are known from another source.
+    /// Cancels a read of them that is in flight. Does nothing if they were read
+    /// already.
     void skip_to(std::uint64_t offset);
 
-    /// Started, and not stopped since.
+    /// Whether the follower has been started and not stopped since.
     [[nodiscard]] bool running() const noexcept
     {
         return m_running;
     }
 
-    /// All records were read at least once since `start`.
+    /// Whether all records were read at least once since `start`.
     [[nodiscard]] bool ready() const noexcept
     {
         return m_ready;
     }
 
-    /// The offset that follows the last record read.
+    /// The offset after the last record read.
     [[nodiscard]] std::uint64_t next_offset() const noexcept
     {
         return m_next;
@@ -141,29 +143,29 @@
     caught_up_handler m_on_caught_up;
     end_reached_handler m_on_end_reached;
     std::function<void(bool)> m_catching_up;
-    /// Bumped by `start`, `stop` and `catch_up`: answers to earlier reads are
-    /// ignored.
+    /// Incremented by `start`, `stop` and `catch_up`: answers to earlier reads
+    /// are ignored.
     std::shared_ptr<std::uint64_t> m_generation{
         std::make_shared<std::uint64_t>(0)};
     std::uint64_t m_next{0};
-    /// What the next read brings at most.
+    /// Size limit of the next read.
     std::size_t m_most_bytes;
     bool m_running{false};
     bool m_ready{false};
-    /// Reads that have failed since the last that succeeded.
+    /// Consecutive failed reads.
     std::uint64_t m_failures{0};
     base::instant m_asked_at{};
     base::instant m_last_read{};
     base::instant m_answered_since{};
-    /// While all records are read: those seen so far, and where the log ended
-    /// before.
+    /// While all records are read: those seen so far, and the end of the log
+    /// when the first page was read.
     std::map<std::string, log_entry> m_pages;
     std::uint64_t m_pages_from{0};
     bool m_first_page{true};
-    /// How long the next page is waited for.
+    /// Timeout of the next page.
     base::duration m_page_timeout;
     base::duration m_catch_up_limit;
-    /// Keys told to the owner and not dropped since.
+    /// Keys reported to the change handler and not deleted since.
     std::set<std::string> m_known;
 };
 
--- a/libraries/cell/loop_lag.cpp
+++ b/libraries/cell/loop_lag.cpp
@@ -11,12 +11,12 @@
 /// Between two measurements.
 constexpr base::duration pause = std::chrono::milliseconds{40};
 
-/// A single pause of the whole machine counts as this much at most: it is
-/// over when it is seen.
+/// Upper limit of one measurement: a single pause of the whole machine is over
+/// when it is measured.
 constexpr base::duration longest_counted = std::chrono::milliseconds{800};
 
-/// The time over which the average forgets. Measurements count by the time
-/// that they took, or a loop that is late would be noticed late.
+/// Time constant of the average. Measurements are weighted by the time that
+/// they cover; otherwise a late loop would be noticed late.
 constexpr base::duration window = std::chrono::milliseconds{600};
 
 } // namespace
--- a/libraries/cell/loop_lag.hpp
+++ b/libraries/cell/loop_lag.hpp
@@ -8,8 +8,8 @@
 namespace berylhill::cell
 {
 
-/// How late the event loop runs what is due: the time that everything waits
-/// for the processor. Lives on the event loop.
+/// Measures how late the event loop runs timers that are due, i.e. how long all
+/// work waits for the processor. Lives on the event loop.
 class loop_lag
 {
 public:
@@ -19,7 +19,7 @@
     loop_lag& operator=(loop_lag const&) = delete;
     ~loop_lag();
 
-    /// Averaged over the last second or so.
+    /// The average over about the last second.
     [[nodiscard]] base::duration average() const noexcept
     {
         return m_average;
--- a/libraries/cell/node.cpp
+++ b/libraries/cell/node.cpp
@@ -16,36 +16,36 @@
 namespace
 {
 
-/// Between two flushes of the log.
+/// Interval between flushes of the log.
 constexpr auto log_pause = std::chrono::milliseconds{20};
 
-/// How long after SIGTERM callers may still be sent here: the platform takes
-/// an instance out after two probes, a second apart.
+/// How long after SIGTERM calls may still arrive: the platform removes an
+/// instance after two failed probes, a second apart.
 constexpr base::duration out_of_rotation = std::chrono::milliseconds{2'500};
 
-/// The process ends this long before it would be ended by force.
+/// The process exits this long before it would be killed.
 constexpr base::duration stop_margin = std::chrono::milliseconds{800};
 
-/// Between two looks whether all callers have their answers.
+/// Interval of the check whether all callers have been answered.
 constexpr auto drain_pause = std::chrono::milliseconds{50};
 
-/// A lease is this much shorter than the longest that an instance grants.
+/// A lease is this much shorter than the longest one that instances grant.
 constexpr base::duration lease_margin = std::chrono::milliseconds{500};
 
-/// The configuration has to be in force within seconds, also when a
-/// connection to the store goes silent.
+/// A new configuration must be in force within seconds, even if a connection to
+/// the store goes silent.
 constexpr follow_options operators_pace{
     std::chrono::milliseconds{700}, std::chrono::milliseconds{20},
     std::chrono::milliseconds{350}, std::chrono::milliseconds{120}};
 
-/// Connections to one instance: one that waits for an end, and two for orders,
-/// so that one order without an answer does not hold up the next. Instances
-/// bound and price their connections.
+/// Connections to one instance: one for the hold request, which stays open, and
+/// two for other orders, so that one unanswered order does not delay the next.
+/// Instances limit and bill their connections.
 constexpr std::size_t order_connections = 3;
 
-/// While connections to instances take more than this share of the
-/// descriptors, idle ones are closed; the rest is left to callers, the other
-/// processes and the store.
+/// Idle connections to instances are closed while they use more than one
+/// descriptor in this many; the rest is for callers, the other processes and
+/// the store.
 constexpr std::int64_t order_share = 2;
 
 network::client_limits order_limits(std::int64_t descriptors)
@@ -55,18 +55,17 @@
     return out;
 }
 
-/// Descriptors kept for connections to others than callers.
+/// Descriptors reserved for connections other than those of callers.
 constexpr std::int64_t own_descriptors = 800;
 
-/// Memory that a waiting connection of a caller may need: a request and its
-/// answer.
+/// Memory budget of a waiting caller connection: a request and its answer.
 constexpr std::int64_t connection_kb = 32;
 
-/// Copies of the configuration take this share of the link, in parts of it:
-/// hundreds of processes that ask at once hold up no calls.
+/// Copies of the configuration use at most one part in this many of the link,
+/// so that hundreds of processes that fetch at once do not delay calls.
 constexpr double copy_share = 4;
 
-/// Bytes of copies that go out at once.
+/// Largest burst of configuration copies, in bytes.
 constexpr std::int64_t copies_at_once = std::int64_t{64} * 1024;
 
 byte_budget budget_of_copies(double link_mbps)
@@ -245,7 +244,7 @@
     auto const& asked = m_configuration.limits;
     auto const by_descriptors = std::max<std::int64_t>(
         64, m_settings.limits.descriptors - own_descriptors);
-    // A quarter of the memory at most goes to connections of callers.
+    // At most a quarter of the memory is used for caller connections.
     auto const by_memory =
         m_settings.limits.memory_mb * 1'024 / 4 / connection_kb;
     network::server_limits limits;
@@ -296,8 +295,8 @@
     base::log(base::log_level::info, "settings_reloaded", {});
 }
 
-/// The right goes first, so that a successor starts at once; then callers are
-/// served until the platform sends no more.
+/// Releases ownership first, so that a successor can claim at once; then serves
+/// callers until the platform stops sending calls.
 void node::stop()
 {
     if (std::exchange(m_stopping, true))
--- a/libraries/cell/node.hpp
+++ b/libraries/cell/node.hpp
@@ -23,11 +23,11 @@
 namespace berylhill::cell
 {
 
-/// Until a right that is given up has to be free: an append under way.
+/// Time limit for releasing ownership: enough for an append in flight.
 inline constexpr base::duration release_limit = std::chrono::milliseconds{500};
 
-/// One process of a cell: takes the calls of clients, watches the owner, and
-/// owns the work when its turn comes. One thread does it all.
+/// A process of a cell: accepts client calls, watches the owner, and owns the
+/// work when it succeeds. Single-threaded.
 class node final : public ownership::listener, public peer_service::backend
 {
 public:
@@ -36,8 +36,8 @@
          adapter_maker const& make);
     ~node() override;
 
-    /// Runs until SIGTERM has been followed to its end. Fails with
-    /// `unavailable` where an address cannot be bound.
+    /// Runs until the shutdown that SIGTERM starts has finished. Fails with
+    /// `unavailable` if an address cannot be bound.
     [[nodiscard]] base::result<void> run();
 
     // ownership::listener
@@ -125,9 +125,10 @@
     loop_lag m_lag;
     node_metrics m_metrics;
     workload::cell_configuration m_configuration;
-    /// As it was read, for processes that the store turns away.
+    /// The record of the configuration, for processes that cannot read the
+    /// store.
     configuration_record m_configuration_record;
-    /// The same, packed; empty until it is asked for.
+    /// The record, compressed; empty until it is requested.
     std::string m_compressed_configuration;
     byte_budget m_copy_budget;
     configuration_spread m_propagation;
@@ -135,7 +136,7 @@
     base::instant m_owns_since{};
     base::instant m_stop_at{};
     bool m_stopping{false};
-    /// The right is being handed to another process.
+    /// Ownership is being handed to another process.
     bool m_yielding{false};
     bool m_was_ready{false};
 };
--- a/libraries/cell/node_answers.cpp
+++ b/libraries/cell/node_answers.cpp
@@ -15,17 +15,18 @@
 constexpr unsigned status_ok = 200;
 constexpr unsigned status_unavailable = 503;
 
-/// What was the newest when the store or another process answered may be this
-/// much older when its answer is read.
+/// Allowance for the time between the confirmation of a version by the store or
+/// another process and the reading of its answer.
 constexpr base::duration confirmation_delay = std::chrono::milliseconds{300};
 
-/// A newer version may have been accepted so long before it was heard of.
+/// Allowance for the time between the acceptance of a newer version and its
+/// first mention by another process.
 constexpr base::duration hearing_delay = std::chrono::milliseconds{1'000};
 
-/// By then the other processes watch a new owner.
+/// Time after which the other processes watch a new owner.
 constexpr base::duration peers_found = std::chrono::seconds{1};
 
-/// What a path names last: a job, where it names one.
+/// Returns the last path segment: the job id, if the path names a job.
 std::string_view last_segment(std::string_view target)
 {
     auto const path = target.substr(0, target.find('?'));
@@ -34,9 +35,9 @@
 
 } // namespace
 
-/// The processes that live now. Those that watched the former owner take some
-/// tenths of a second to find this one; until then they are taken as it named
-/// them, or all questions for advice would queue up on this machine.
+/// Returns the other live processes. Watchers of the former owner need some
+/// tenths of a second to find this one; until then the former owner's list is
+/// used as well, or all advice requests would queue up on this machine.
 std::vector<peer> node::others() const
 {
     auto out = m_peer_service.watchers();
@@ -120,8 +121,8 @@
 {
     if (m_configuration.version == 0 || configuration_overdue())
     {
-        // What is configured is not known: neither "no such queue" nor "no
-        // such job" would be true, and another process knows.
+        // The configuration is unknown, so neither "no such queue" nor "no such
+        // job" would be reliable; another process has the configuration.
         m_metrics.denied(status_unavailable);
         answer({status_unavailable, {{"Retry-After", "1"}}, {}});
         return;
@@ -144,8 +145,9 @@
                   });
 }
 
-/// A newer version may allow what the one here does not. A process that can't
-/// tell says so, and neither that a key is unknown nor that a queue is.
+/// Refuses a request. A newer configuration may allow what this one does not,
+/// so a process that is not sure to have the newest one answers "unavailable"
+/// instead of reporting an unknown key or queue.
 void node::refuse(std::string const& target,
                   refused_request it,
                   network::responder const& answer)
@@ -164,8 +166,9 @@
     answer(std::move(it.response));
 }
 
-/// Any version that is newer than the one here was accepted since that was
-/// last known to be the newest, and has a certain time to be in force.
+/// Returns whether this version is the one to judge by. A newer version can
+/// only have been accepted after this one was last confirmed, and has
+/// `configuration_ms` to come into force.
 bool node::sure_of_configuration() const
 {
     if (m_propagation.newest() > m_configuration.version)
@@ -177,8 +180,8 @@
     return m_propagation.age(m_clock.now()) < demanded - confirmation_delay;
 }
 
-/// A newer version is known for so long that it has to be in force now, and
-/// has not come.
+/// Returns whether a newer version has been known for so long that it should be
+/// in force, but has not arrived.
 bool node::configuration_overdue() const
 {
     auto const demanded =
@@ -186,8 +189,7 @@
     return m_propagation.behind(m_clock.now()) > demanded - hearing_delay;
 }
 
-/// Says of a call that is served by which version, where that may not be the
-/// newest.
+/// Logs the version that a call is served under if that may not be the newest.
 void node::note_old_configuration(job_call const& it) const
 {
     if (sure_of_configuration())
--- a/libraries/cell/node_configuration.cpp
+++ b/libraries/cell/node_configuration.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// A copy of which so long no byte comes lies on a silent connection.
+/// A copy that makes no progress for this long is on a silent connection.
 constexpr base::duration copy_stall = std::chrono::seconds{1};
 
 fetch_end end_of(peer_result<configuration_record> const& it)
@@ -44,7 +44,8 @@
     }
     if (!read.value() || read.value()->version <= m_configuration.version)
     {
-        // Records may be read again; an older version never comes back.
+        // Records may be read repeatedly; an older version must not replace a
+        // newer one.
         return;
     }
     m_configuration = *read.value();
@@ -134,7 +135,7 @@
     }
 }
 
-/// Says that another process has named a newer version than was known before.
+/// Logs that another process has reported a newer version than was known.
 void node::note_newest(std::int64_t known, network::socket_address const& from)
 {
     if (m_propagation.newest() == known)
--- a/libraries/cell/node_load.cpp
+++ b/libraries/cell/node_load.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-/// Between two looks whether the owner's work should move.
+/// Interval of the check whether to hand over ownership.
 constexpr auto load_pause = std::chrono::milliseconds{250};
 
-/// A process that handed its work on takes none for so long, or it would come
-/// back to an instance that cannot carry it.
+/// A process that handed over ownership does not claim it for this long;
+/// otherwise the work could return to an instance that cannot handle it.
 constexpr base::duration yield_rest = std::chrono::seconds{5};
 
 } // namespace
@@ -36,7 +36,7 @@
     m_load_timer.async_wait([this](auto) { watch_load(); });
 }
 
-/// Hands the work to another process, as at a planned stop.
+/// Hands ownership to another process, as in a planned stop.
 void node::yield(char const* why)
 {
     m_yielding = true;
--- a/libraries/cell/node_metrics.cpp
+++ b/libraries/cell/node_metrics.cpp
@@ -7,7 +7,7 @@
 
 node_metrics::node_metrics()
 {
-    // Made now, so that the first scrape shows them all.
+    // Created here so that the first scrape contains all of them.
     for (auto const kind : {job_call_kind::submit, job_call_kind::status,
                             job_call_kind::cancel, job_call_kind::pending})
     {
--- a/libraries/cell/node_metrics.hpp
+++ b/libraries/cell/node_metrics.hpp
@@ -10,29 +10,30 @@
 namespace berylhill::cell
 {
 
-/// The metrics of one process, in Prometheus's text format; named in
+/// The metrics of one process in Prometheus's text format, documented in
 /// docs/TELEMETRY.md. Not thread-safe.
 class node_metrics
 {
 public:
     node_metrics();
 
-    /// A call of a client was answered.
+    /// Counts a client call that was answered.
     void answered(job_call_kind kind, job_answer_kind end, base::duration took);
 
-    /// A request that makes no call was answered with this status.
+    /// Counts a request that was refused with this status before it became a
+    /// call.
     void denied(unsigned status);
 
-    /// What changes slowly, read before each time the text is asked for.
+    /// Values that are sampled each time the metrics are requested.
     struct readings
     {
         bool owns{false};
         bool ready{false};
         std::uint64_t token{0};
         std::int64_t configuration_version{0};
-        /// That this process knows of.
+        /// The newest version that this process knows of.
         std::int64_t newest_configuration{0};
-        /// Since its version was known to be the newest.
+        /// Time since the version in force was known to be the newest.
         base::duration configuration_age{0};
         std::size_t connections{0};
         std::uint64_t order_connections_opened{0};
--- a/libraries/cell/owner_lookup.cpp
+++ b/libraries/cell/owner_lookup.cpp
@@ -12,12 +12,12 @@
 namespace
 {
 
-/// Until a look has begun to be answered: one record and its way, twice. Each
-/// without an answer is given twice the time, up to the limit.
+/// Time to the first byte of an answer: one record and its round trip, twice.
+/// Doubled after each timeout up to the limit.
 constexpr base::duration look_timeout = std::chrono::milliseconds{400};
 constexpr base::duration look_timeout_limit = std::chrono::milliseconds{1'600};
 
-/// An answer of which so long no byte comes lies on a silent connection.
+/// An answer that makes no progress for this long is on a silent connection.
 constexpr base::duration look_stall = std::chrono::milliseconds{400};
 
 } // namespace
--- a/libraries/cell/owner_lookup.hpp
+++ b/libraries/cell/owner_lookup.hpp
@@ -11,31 +11,30 @@
 namespace berylhill::cell
 {
 
-/// The key of the owner's claim in the cell's log. It comes after the keys of
-/// all jobs in the order in which the store pages them, so that the claim can
-/// be read without them.
+/// The key of the owner's claim in the cell's log. It sorts after the keys of
+/// all jobs, so that the claim can be read without them.
 inline constexpr char const* owner_key = "~owner";
 
-/// What comes right before it.
+/// The largest key before `owner_key` in the order of pages.
 inline constexpr char const* before_owner_key = "~";
 
-/// The claim in a record's value. One that cannot be read is logged, and
-/// counts as none: its token is 0.
+/// Parses a claim. An unreadable claim is logged and treated as no claim: its
+/// token is 0.
 [[nodiscard]] owner_view claim_of(std::string const& value);
 
-/// Finds the owner of the newest claim without reading the jobs' records.
+/// Finds the owner by the newest claim without reading the jobs' records.
 ///
-/// Guards against a start of all processes at once: where each read all
-/// records to find the one, megabytes a process, a page took longer on the
-/// link of a small machine than its read was given, so that it never knew an
-/// owner and refused all its callers.
+/// When all processes started at once and each read all records, megabytes per
+/// process, a page took longer on the link of a small machine than the read
+/// timeout, so that the machine never found the owner and refused all its
+/// callers.
 ///
 /// Lives on the event loop.
 class owner_lookup
 {
 public:
-    /// The claim, with token 0 where there is none; nothing where the store
-    /// gave no answer.
+    /// Called with the claim, whose token is 0 if there is none; with nothing
+    /// if the store did not answer.
     using handler = std::function<void(std::optional<owner_view> const&)>;
 
     explicit owner_lookup(keyed_log& cell);
@@ -43,15 +42,15 @@
     owner_lookup& operator=(owner_lookup const&) = delete;
     ~owner_lookup();
 
-    /// `done` is called once, never from within; not at all once another look
-    /// has begun or this object has ended.
+    /// `done` is called once, never from within this call; it is not called if
+    /// another lookup starts or this object is destroyed first.
     void look(handler done);
 
 private:
     void read_after(std::string const& key, handler done);
 
     keyed_log& m_cell;
-    /// How long the next look is waited for.
+    /// Timeout of the next lookup.
     base::duration m_patience;
     std::shared_ptr<std::uint64_t> m_generation{
         std::make_shared<std::uint64_t>(0)};
--- a/libraries/cell/ownership.cpp
+++ b/libraries/cell/ownership.cpp
@@ -10,13 +10,13 @@
 namespace
 {
 
-/// Standbys read the cell's log this often. They need it when they claim,
-/// and then read what is missing.
+/// How often standbys read the cell's log. They need its records only when they
+/// claim, and then read what is missing.
 constexpr follow_options standby_pace{
     std::chrono::milliseconds{0}, std::chrono::milliseconds{500},
     std::chrono::milliseconds{400}, std::chrono::milliseconds{250}};
 
-/// After a look for the owner that had no answer.
+/// Pause after a lookup without an answer.
 constexpr base::duration find_retry = std::chrono::milliseconds{150};
 
 } // namespace
@@ -61,7 +61,7 @@
     find_owner();
 }
 
-/// Reads who owns. Whoever follows the log goes on with it.
+/// Looks up the owner. A process that follows the log keeps following it.
 void ownership::find_owner()
 {
     ++*m_generation;
@@ -149,7 +149,7 @@
     ++*m_generation;
     m_state = ownership_state::watching;
     m_heard = false;
-    // A successor announces itself, which ends the rest.
+    // A successor's announcement ends the pause.
     again(rest, [this] { find_owner(); });
 }
 
--- a/libraries/cell/ownership.hpp
+++ b/libraries/cell/ownership.hpp
@@ -20,43 +20,45 @@
 namespace berylhill::cell
 {
 
-/// What the process does about ownership at the moment.
+/// The state of this process regarding ownership.
 enum class ownership_state : std::uint8_t
 {
     /// The log has not been read yet.
     starting,
     watching,
-    /// The owner gave no answer; the others are asked.
+    /// The owner did not answer; other processes are being asked.
     suspecting,
     claiming,
     owning,
 };
 
-/// How an owner that was watched was lost.
+/// How a watched owner was lost.
 enum class owner_loss : std::uint8_t
 {
-    /// Nothing listens at its address.
+    /// The connection was refused.
     refused,
-    /// Another life answers there.
+    /// A restarted process answers at its address.
     restarted,
-    /// No answer: it is gone, cut off or overloaded.
+    /// No answer: the process is gone, unreachable or overloaded.
     silent,
 };
 
-/// For logs.
+/// The name of the value in logs.
 [[nodiscard]] char const* name_of(owner_loss it);
 
-/// Finds the owner of the cell's work, watches it, and claims the work when
-/// it is gone. A claim is a record at the end of the cell's log, so of two
-/// claims one wins; the winner's token, the offset of its claim plus one, is
-/// above that of all owners before. A needless claim costs a change of owner
-/// but nothing that must hold, so suspicion may be quick.
+/// Finds the owner of the cell's work, watches it, and claims the work when the
+/// owner is gone. A claim is a record appended at the end of the cell's log, so
+/// only one of two competing claims succeeds. The winner's fencing token, the
+/// offset of its claim plus one, is higher than that of all owners before. An
+/// unnecessary claim causes a change of owner but breaks no guarantee, so
+/// suspicion may be quick.
 ///
 /// Lives on the event loop.
 class ownership
 {
 public:
-    /// What becoming the owner means to the rest of the process.
+    /// Is told of changes of ownership, and connects to the rest of the
+    /// process.
     class listener
     {
     public:
@@ -65,20 +67,21 @@
         listener& operator=(listener const&) = delete;
         virtual ~listener() = default;
 
-        /// This process owns the work. `next` is the offset that follows its
-        /// claim.
+        /// This process now owns the work. `records` are the newest records
+        /// before the claim, `token` is the claim's fencing token and `next`
+        /// the offset after the claim.
         virtual void began(std::map<std::string, std::string> const& records,
                            std::uint64_t token,
                            std::uint64_t next) = 0;
 
-        /// It owns it no longer.
+        /// This process no longer owns the work.
         virtual void ended() = 0;
 
-        /// The configuration that this process has.
+        /// Returns the configuration version of this process and its age.
         [[nodiscard]] virtual configuration_age configuration_here() const = 0;
 
-        /// The process at this address says that it has this configuration, in
-        /// answer to a question that was sent at `asked_at`.
+        /// The process at `from` reported this configuration in the answer to a
+        /// request that was sent at `asked_at`.
         virtual void heard_of(configuration_age const& it,
                               base::instant asked_at,
                               network::socket_address const& from) = 0;
@@ -98,18 +101,18 @@
 
     void start();
 
-    /// The right was lost to another owner.
+    /// Ownership was lost to another process.
     void lose_ownership(char const* why);
 
-    /// Another process tells who owns.
+    /// Another process reported an owner.
     void heard_of(owner_view const& it);
 
-    /// The right was given up for another process to take; this one claims
-    /// nothing for `rest`. Precondition: it owned.
+    /// Ownership was released for another process to take; this process does
+    /// not claim it for `rest`. Precondition: it was the owner.
     void yield(base::duration rest);
 
-    /// The process ends; the right, if it has it, was given up. It goes on
-    /// watching, for callers that still come, and claims nothing any more.
+    /// The process is stopping and has released ownership if it had it. It
+    /// keeps watching, to serve remaining callers, but makes no more claims.
     void leave();
 
     [[nodiscard]] ownership_state state() const noexcept
@@ -122,13 +125,14 @@
         return m_owner;
     }
 
-    /// The owner answered the last watch.
+    /// Whether the owner answered the last watch.
     [[nodiscard]] bool owner_heard() const noexcept
     {
         return m_state == ownership_state::owning || m_heard;
     }
 
-    /// The others, as the owner names them: to the standbys all.
+    /// The other processes as reported by the owner; only standbys know all of
+    /// them.
     [[nodiscard]] std::vector<peer> const& peers() const noexcept
     {
         return m_peers.peers;
@@ -173,22 +177,22 @@
     log_follower m_follower;
     reliable_append m_append;
     boost::asio::steady_timer m_timer;
-    /// Bumped on each change of state: what was under way before is ignored.
+    /// Incremented on each change of state: earlier operations are ignored.
     std::shared_ptr<std::uint64_t> m_generation{
         std::make_shared<std::uint64_t>(0)};
     replica m_replica;
     ownership_state m_state{ownership_state::starting};
     owner_view m_owner;
     named_peers m_peers;
-    /// How many processes watch the owner.
+    /// The number of processes that watch the owner.
     std::size_t m_watchers{0};
     bool m_heard{false};
     bool m_leaving{false};
     base::instant m_claim_began{};
     std::uint32_t m_failures{0};
-    /// Rounds in which none of the others answered.
+    /// Consecutive rounds in which no other process answered.
     std::uint32_t m_rounds_isolated{0};
-    /// Rounds in which it knew no others to ask.
+    /// Consecutive rounds in which no other process was known.
     std::uint32_t m_rounds_alone{0};
     std::size_t m_open_probes{0};
     bool m_others_hear{false};
--- a/libraries/cell/ownership_claim.cpp
+++ b/libraries/cell/ownership_claim.cpp
@@ -13,37 +13,36 @@
 {
 
 /// Successors claim one after the other, so that the first one's claim is in
-/// the log, or announced, when the next one looks.
+/// the log, or announced, when the next one checks.
 constexpr base::duration claim_step = std::chrono::milliseconds{25};
 
-/// Those who do not follow the log wait longer for each other: they read all
-/// of it before they claim, and dozens that do so at once slow down the one
-/// that wins.
+/// Interval between processes that do not follow the log. They read all of it
+/// before they claim, and dozens that do so at once slow down the one that
+/// wins.
 constexpr base::duration late_claim_step = std::chrono::milliseconds{150};
 
-/// While the others are not known, an instance this small lets larger ones
-/// claim first.
+/// While the other processes are unknown, an instance this small lets larger
+/// ones claim first.
 constexpr std::int64_t small_millicores = 200;
 constexpr base::duration small_delay = std::chrono::milliseconds{250};
 
-/// Until a claim is given up, to look again at who owns.
+/// Time limit of a claim, after which the owner is looked up again.
 constexpr base::duration claim_limit = std::chrono::milliseconds{2'000};
 
-/// After a claim that could not be made.
+/// Pause after a claim that could not be made.
 constexpr base::duration claim_retry = std::chrono::milliseconds{150};
 
 } // namespace
 
-/// How many of the others come before this process when the owner is lost, in
-/// an order that all agree on.
+/// Returns how many other processes precede this one in the succession, an
+/// order on which all processes agree.
 std::int64_t ownership::succession_rank() const
 {
     auto const& named = m_peers.peers;
     auto const before = std::ranges::count_if(
         named, [this](auto const& it)
         { return it.address != m_owner.address && comes_before(it, m_self); });
-    // Those that nobody has named yet, and those that come after all that are
-    // named, are spread by name.
+    // Processes that are not in the list are spread by a hash of their names.
     constexpr std::size_t first_turns = 8;
     auto const unnamed =
         named.empty() ? first_turns
@@ -77,9 +76,10 @@
     }
     ++*m_generation;
     m_state = ownership_state::claiming;
-    // Those who do not follow the log begin to read it when their turn comes:
-    // dozens that did so at once would hold up the one that claims first.
-    // A turn that ends with a new owner in sight is not worth a line.
+    // Processes that do not follow the log start reading it only when their
+    // turn comes: dozens that read it at once would delay the first one to
+    // claim. Nothing is logged before, because a new owner may appear during
+    // the wait.
     again(claim_delay(),
           [this, why]
           {
@@ -92,9 +92,9 @@
           });
 }
 
-/// Another process may have claimed while this one waited for its turn. Those
-/// who do not follow the log would find that at the end of all its records
-/// only; dozens that read these at once take seconds of small machines' links.
+/// Another process may have claimed while this one waited. A process that does
+/// not follow the log would notice that only after reading all its records, and
+/// dozens that do so at once occupy the links of small machines for seconds.
 void ownership::look_before_claim()
 {
     if (m_follower.running())
@@ -134,7 +134,7 @@
     m_follower.catch_up(
         [this, alive = m_generation, mine = *m_generation](bool up_to_date)
         {
-            // A claim seen meanwhile has changed the state.
+            // A claim that was read meanwhile has changed the state.
             if (*alive != mine)
             {
                 return;
@@ -146,7 +146,7 @@
             }
             if (m_append.busy())
             {
-                // A claim that was overtaken is still being resolved.
+                // The outcome of an earlier claim is still being resolved.
                 again(claim_retry, [this] { claim_now(); });
                 return;
             }
@@ -177,7 +177,7 @@
     }
     if (m_leaving || m_owner.token > claimant.token)
     {
-        // The next one that misses an owner claims after this token.
+        // The next process that misses an owner claims with a higher token.
         find_owner();
         return;
     }
--- a/libraries/cell/ownership_watch.cpp
+++ b/libraries/cell/ownership_watch.cpp
@@ -12,34 +12,35 @@
 {
 
 /// Added to the time that a watch is kept open before the owner counts as
-/// silent: above a pause of the owner's processor, which comes in tenths of a
-/// second.
+/// silent: longer than the pauses of an owner's processor, which take tenths of
+/// a second.
 constexpr base::duration watch_slack = std::chrono::milliseconds{300};
 
-/// Until a second, short question to an owner that gave no answer is given
-/// up, and the questions to the others.
+/// Timeout of the second, short request to an owner that did not answer, and of
+/// the requests to other processes.
 constexpr base::duration probe_timeout = std::chrono::milliseconds{200};
 
-/// Between two rounds of suspicion.
+/// Pause between rounds of suspicion.
 constexpr base::duration suspect_pause = std::chrono::milliseconds{100};
 
-/// A process that reaches none of the others is likely cut off itself; it
-/// claims only after so many rounds.
+/// A process that reaches no other is probably cut off itself; it claims only
+/// after this many rounds.
 constexpr std::uint32_t isolated_rounds = 8;
 
-/// One that knows no others claims after so many, which take 1.8 s.
+/// A process that knows no others claims after this many rounds, which take 1.8
+/// s.
 constexpr std::uint32_t alone_rounds = 3;
 
-/// How many others are asked whether they hear the owner.
+/// How many other processes are asked whether they reach the owner.
 constexpr std::size_t others_asked = 5;
 
-/// An owner whose store has taken nothing for so long is replaced by a
+/// An owner whose store has accepted nothing for this long is replaced by a
 /// process that reaches the store. A slow store takes up to half a second for
-/// an append; one that refuses says at once that it will not.
+/// an append; a refusing one answers immediately.
 constexpr base::duration owner_stuck = std::chrono::milliseconds{900};
 constexpr base::duration owner_refused = std::chrono::milliseconds{200};
 
-/// Own reads of the store that are older say nothing about reaching it.
+/// Older reads of this process do not show that it reaches the store.
 constexpr base::duration own_read_age = std::chrono::milliseconds{1'200};
 
 } // namespace
@@ -79,8 +80,8 @@
 {
     if (!it.answer)
     {
-        // One question may be lost with its connection; a second one on a
-        // fresh connection tells.
+        // A request may be lost with its connection; a second one on a new
+        // connection shows whether the owner is gone.
         if (++m_failures < 2)
         {
             watch(base::duration{0});
@@ -111,7 +112,8 @@
     m_rounds_alone = 0;
     m_heard = true;
     m_watchers = answer.watchers;
-    // Without a digest it is a process of a version that names all each time.
+    // An owner that runs an older release sends no digest and the full list
+    // each time.
     if (answer.peers.digest != m_peers.digest || answer.peers.digest == 0)
     {
         m_peers = answer.peers;
@@ -124,8 +126,8 @@
     }
     auto const limit = answer.store_refuses ? owner_refused : owner_stuck;
     auto const now = m_clock.now();
-    // A store that is just back serves whoever asks first: the owner gets as
-    // long as this process has been served.
+    // A store that has just recovered serves whoever asks first, so the owner
+    // gets as much time as this process has been served for.
     if (answer.store_stuck > limit &&
         now - m_follower.last_read() < own_read_age &&
         now - m_follower.answered_since() > limit)
@@ -136,7 +138,8 @@
     watch(watch_interval());
 }
 
-/// A standby finds a silent owner soonest, in cells of any size.
+/// Standbys watch at the shortest interval, so that they detect a silent owner
+/// first in cells of any size.
 base::duration ownership::watch_interval() const
 {
     return watch_wait(succession_rank() < standby_count ? 0 : m_watchers);
@@ -215,9 +218,9 @@
     }
 }
 
-/// A process that has just started knows nobody else to ask. An owner that
-/// took over a moment ago asks thousands of instances and may answer late; so
-/// it is asked again, for longer each time, before its work is claimed.
+/// A process that has just started knows no others to ask. An owner that took
+/// over a moment ago sends requests to thousands of instances and may answer
+/// late, so it is asked again with longer timeouts before its work is claimed.
 void ownership::suspect_alone()
 {
     if (++m_rounds_alone >= alone_rounds)
@@ -248,7 +251,7 @@
     again(suspect_pause, [this] { probe_owner_again(); });
 }
 
-/// Asks the owner once more; without an answer it is lost again at once.
+/// Asks the owner once more; without an answer it is considered lost at once.
 void ownership::probe_owner_again()
 {
     m_state = ownership_state::watching;
@@ -256,9 +259,9 @@
     watch(base::duration{0});
 }
 
-/// Only those whose turn comes first keep up with the log, or reading it would
-/// cost each process the whole cell's traffic; the others read it anew if they
-/// ever have to claim.
+/// Starts or stops following the log. Only standbys follow it, or each process
+/// would receive the whole traffic of the cell; others read it from the start
+/// if they have to claim.
 void ownership::update_following()
 {
     auto const wanted = succession_rank() < standby_count;
--- a/libraries/cell/peer.hpp
+++ b/libraries/cell/peer.hpp
@@ -9,14 +9,15 @@
 namespace berylhill::cell
 {
 
-/// Who owns the cell's work, as far as is known. A value.
+/// The owner of the cell's work, as far as known. A value.
 struct owner_view
 {
-    /// The offset of its claim plus one; 0: no owner is known.
+    /// Fencing token: the offset of its claim plus one; 0: no owner is known.
     std::uint64_t token{0};
     std::string instance;
     network::socket_address address;
-    /// Of its process; another life at the same address is no owner.
+    /// Incarnation of its process; a restarted process at the same address is
+    /// not the owner.
     std::string incarnation;
 
     friend bool operator==(owner_view const&, owner_view const&) = default;
@@ -33,9 +34,10 @@
     friend auto operator<=>(peer const&, peer const&) = default;
 };
 
-/// Whether `it` takes the work over before `other`: where there is more
-/// processor time, since the owner of a large cell needs more than a small
-/// instance has; of equals by address, so that all agree.
+/// Returns whether `it` succeeds a lost owner before `other`: the process with
+/// more processor time comes first, since the owner of a large cell needs more
+/// than a small instance has. Equals are ordered by address, so that all
+/// processes agree.
 [[nodiscard]] inline bool comes_before(peer const& it, peer const& other)
 {
     if (it.millicores != other.millicores)
--- a/libraries/cell/peer_client.cpp
+++ b/libraries/cell/peer_client.cpp
@@ -14,16 +14,18 @@
 
 constexpr unsigned status_ok = 200;
 
-/// The other side is not the owner and has done nothing.
+/// The other process is not the owner and has done nothing.
 constexpr unsigned status_conflict = 409;
 
-/// It has done nothing now, and may later.
+/// The other process is busy and has done nothing; it may serve a later
+/// request.
 constexpr unsigned status_busy = 429;
 
-/// Until an announcement is given up; those who miss it learn from the log.
+/// Timeout of an announcement; processes that miss it learn of the owner from
+/// the log.
 constexpr base::duration announce_timeout = std::chrono::milliseconds{500};
 
-/// A packed configuration that would take more is not unpacked.
+/// Size limit of a decompressed configuration.
 constexpr std::size_t largest_configuration = std::size_t{16} * 1024 * 1024;
 
 base::result<configuration_record>
--- a/libraries/cell/peer_client.hpp
+++ b/libraries/cell/peer_client.hpp
@@ -18,33 +18,33 @@
 struct peer_result
 {
     network::call_end end{network::call_end::not_sent};
-    /// Nothing listens there.
+    /// The connection was refused.
     bool refused{false};
     std::optional<Answer> answer;
-    /// Bytes that came of an answer that isn't whole.
+    /// Bytes received of an incomplete answer.
     std::uint64_t received{0};
 };
 
-/// Calls from one process of the cell to another. Handlers are called once
-/// each, on the event loop.
+/// Client of the other processes of the cell. Each handler is called once, on
+/// the event loop.
 class peer_client
 {
 public:
     explicit peer_client(network::http_client& client);
 
-    /// Asks who owns the work; the other side answers after `wait`, or as
-    /// soon as it leaves.
+    /// Asks who owns the work. The other process answers after `wait`, or as
+    /// soon as it releases ownership.
     void watch(network::socket_address const& to,
                watch_question const& question,
                base::duration wait,
                base::duration timeout,
                std::function<void(peer_result<watch_answer>)> done);
 
-    /// Tells of a new owner; nothing is expected back.
+    /// Announces a new owner; no answer is expected.
     void announce(network::socket_address const& to, owner_view const& it);
 
-    /// Asks for the configuration that the other process has; `not_sent` also
-    /// where it has copies enough under way.
+    /// Requests the configuration of the other process. Ends with `not_sent`
+    /// also if that process already sends as many copies as it may.
     void
     configuration(network::socket_address const& to,
                   network::call_patience const& patience,
--- a/libraries/cell/peer_list.cpp
+++ b/libraries/cell/peer_list.cpp
@@ -11,16 +11,16 @@
 namespace
 {
 
-/// How many processes those are told of that stand by for nothing: more are
-/// not lost at once with the owner and its standbys but for a loss of power,
-/// and then the list is worth nothing.
+/// Size limit of the list sent to processes that are not standbys. Losing more
+/// processes together with the owner and its standbys takes a power failure,
+/// after which the list is useless.
 constexpr std::size_t most_named = 64;
 
 constexpr base::duration least_wait = std::chrono::milliseconds{250};
 constexpr base::duration longest_wait = std::chrono::milliseconds{1'000};
 constexpr base::duration wait_for_each = std::chrono::microseconds{2'500};
 
-/// Fits the numbers of JSON.
+/// Keeps the digest exactly representable as a JSON number.
 constexpr std::uint64_t digest_mask = (std::uint64_t{1} << 52U) - 1;
 
 named_peers digested(std::vector<peer> it)
--- a/libraries/cell/peer_messages.cpp
+++ b/libraries/cell/peer_messages.cpp
@@ -54,7 +54,7 @@
     return {it.version, it.age.count()};
 }
 
-/// Empty from a process of a version that names none.
+/// Empty if the sender runs a release without this field.
 configuration_age configuration_in(json::value const& it)
 {
     auto const& row = json_codec::array_or_empty(it, "configuration");
@@ -136,7 +136,7 @@
     return out;
 }
 
-/// The members of the asker stand beside the digest.
+/// The members of `from` and the digest are in the same object.
 std::string text_of(watch_question const& it)
 {
     auto out = object_of(it.from);
--- a/libraries/cell/peer_messages.hpp
+++ b/libraries/cell/peer_messages.hpp
@@ -13,25 +13,25 @@
 namespace berylhill::cell
 {
 
-/// What an owner, or one who knows it, says of itself. A value.
+/// The answer to a watch. A value.
 struct watch_answer
 {
-    /// The process asked is the owner.
+    /// The answering process is the owner.
     bool owns{false};
-    /// It gives its right up now: a successor may claim at once.
+    /// It is releasing ownership: a successor may claim at once.
     bool leaving{false};
     /// How long it has been unable to write to the store.
     base::duration store_stuck{0};
-    /// The store answers it, and takes nothing.
+    /// The store answers it but refuses its appends.
     bool store_refuses{false};
     /// The owner that it knows.
     owner_view owner;
-    /// It heard from that owner, and has not lost it since.
+    /// It has had an answer from that owner, and has not lost it since.
     bool owner_heard{false};
     /// How many processes watch the owner.
     std::size_t watchers{0};
-    /// Of these, what the asker is to know; without the processes where it
-    /// knows them.
+    /// The watchers that the recipient should know; without processes if the
+    /// recipient has the same digest.
     named_peers peers;
     configuration_age configuration;
 
@@ -46,11 +46,11 @@
 [[nodiscard]] std::string text_of(watch_answer const& it);
 [[nodiscard]] base::result<watch_answer> parse_watch(std::string_view text);
 
-/// The question that a watch answer answers. A value.
+/// The body of a watch request. A value.
 struct watch_question
 {
     peer from;
-    /// The digest of the peers that it knows.
+    /// The digest of the peers that the sender knows.
     std::int64_t known{0};
     configuration_age configuration;
 
@@ -72,7 +72,7 @@
 [[nodiscard]] std::string text_of(job_answer const& it);
 [[nodiscard]] base::result<job_answer> parse_job_answer(std::string_view text);
 
-/// A question for advice that one process puts for another. A value.
+/// An advice request that one process sends on behalf of another. A value.
 struct advice_question
 {
     std::string step;
--- a/libraries/cell/peer_paths.hpp
+++ b/libraries/cell/peer_paths.hpp
@@ -2,7 +2,7 @@
 
 #include <string_view>
 
-/// The calls between the processes of a cell.
+/// HTTP paths of the calls between the processes of a cell.
 namespace berylhill::cell::peer_paths
 {
 
@@ -12,7 +12,7 @@
 inline constexpr std::string_view configuration = "/v1/peer/configuration";
 inline constexpr std::string_view advise = "/v1/peer/advise";
 
-/// The fields by which a packed text is asked for and marked.
+/// Header fields that negotiate a compressed body.
 inline constexpr char const* accept_encoding = "Accept-Encoding";
 inline constexpr char const* content_encoding = "Content-Encoding";
 inline constexpr char const* compressed_encoding = "deflate";
--- a/libraries/cell/peer_service.cpp
+++ b/libraries/cell/peer_service.cpp
@@ -18,17 +18,17 @@
 constexpr unsigned status_conflict = 409;
 constexpr unsigned status_busy = 429;
 
-/// A process that has not asked for so long is not counted among those that
-/// live: some of its watches.
+/// A process that has not asked for this long, the time of several watches, is
+/// not considered live.
 constexpr base::duration watcher_kept = std::chrono::milliseconds{1'200};
 
-/// Between two looks at who watches.
+/// How often the list of watchers is updated.
 constexpr base::duration list_pause = std::chrono::milliseconds{250};
 
-/// Between two looks at open watches.
+/// How often open watches are checked for expiry.
 constexpr base::duration tick = std::chrono::milliseconds{25};
 
-/// No watch is kept open longer, whatever is asked.
+/// Upper limit of the time that a watch is kept open.
 constexpr base::duration longest_watch = std::chrono::seconds{2};
 
 base::duration wait_in(std::string_view target)
@@ -131,7 +131,8 @@
     m_watches.push_back({std::move(answer), now + wait, from.value()});
 }
 
-/// A process of a version that can't unpack gets the text as it is.
+/// Sends the configuration, uncompressed to a process that runs a release
+/// without compression.
 void peer_service::configuration(network::http_request const& it,
                                  network::responder const& answer)
 {
@@ -229,7 +230,8 @@
     }
 }
 
-/// After which a process that has not asked is not counted.
+/// Returns the time after which a process that has not asked is not considered
+/// live.
 base::duration peer_service::watcher_lifetime() const
 {
     return watcher_kept + watch_wait(m_seen.size()) - watch_wait(0);
--- a/libraries/cell/peer_service.hpp
+++ b/libraries/cell/peer_service.hpp
@@ -20,11 +20,12 @@
 namespace berylhill::cell
 {
 
-/// Answers the other processes of the cell. Lives on the event loop.
+/// Serves the calls of the other processes of the cell. Lives on the event
+/// loop.
 class peer_service
 {
 public:
-    /// What it asks the rest of the process.
+    /// The parts of the process that the service uses.
     class backend
     {
     public:
@@ -35,12 +36,12 @@
 
         [[nodiscard]] virtual watch_answer view() const = 0;
         virtual void heard_of(owner_view const& it) = 0;
-        /// The process at this address has this version of the configuration.
+        /// The process at `from` reported this version of the configuration.
         virtual void heard_of(std::int64_t version,
                               network::socket_address const& from) = 0;
         [[nodiscard]] virtual configuration_record configuration() const = 0;
-        /// The same as a packed text; nothing while other copies take what the
-        /// link may carry of them.
+        /// The configuration, compressed; nothing while other copies use up the
+        /// bandwidth reserved for them.
         [[nodiscard]] virtual std::optional<std::string>
         compressed_configuration() = 0;
         [[nodiscard]] virtual bool owns() const = 0;
@@ -59,7 +60,7 @@
 
     void handle(network::http_request const& it, network::responder answer);
 
-    /// Answers all open watches now: something has changed.
+    /// Answers all open watches now, because something has changed.
     void wake();
 
     /// The processes that watch this one now.
--- a/libraries/cell/reliable_append.cpp
+++ b/libraries/cell/reliable_append.cpp
@@ -12,55 +12,58 @@
 namespace
 {
 
-/// A lost answer costs at least this; an append usually takes 4 to 6 ms. A day
-/// on which two answers in five are lost was worth 0.598 with 100 ms and 0.640
-/// with this, mean of 12 plays.
+/// Lower limit of the retry timeout, the least that a lost answer costs; an
+/// append usually takes 4 to 6 ms. With two answers in five lost, a scenario
+/// day scored 0.598 with 100 ms and 0.640 with this value, mean of 12 runs.
 constexpr base::duration least_patience = std::chrono::milliseconds{40};
 
-/// A store that was silent is asked again so soon after it is back.
+/// Upper limit of the retry timeout: a store that was silent is tried again
+/// this soon after it recovers.
 constexpr base::duration most_patience = std::chrono::milliseconds{800};
 
-/// The patience is this many times the mean; a store seldom takes longer.
+/// Ratio of the retry timeout to the mean latency, which a store seldom
+/// exceeds.
 constexpr int patience_factor = 8;
 
-/// Until a try is given up; up to seven are listened to at a time. A store
-/// whose appends take 240 ms is not silent: it was taken for that while each
-/// try was given up when the next one was sent, and all new work was refused
-/// for a second.
+/// Timeout of an attempt; up to seven are awaited at a time. A store whose
+/// appends take 240 ms is not silent: when each attempt was abandoned as the
+/// next one was sent, it was considered silent and all new work was refused for
+/// a second.
 constexpr base::duration answer_timeout = std::chrono::milliseconds{2'000};
 
-/// Weight of the newest measurement in the mean, as a divisor.
+/// Divisor that gives the weight of the newest measurement in the mean.
 constexpr int mean_weight = 8;
 
-/// After a refusal, doubled with each up to the limit: the store counts and
-/// prices refused calls.
+/// Pause after a refusal, doubled each time up to the limit: the store counts
+/// and bills refused calls.
 constexpr base::duration first_pause = std::chrono::milliseconds{40};
 constexpr base::duration longest_pause = std::chrono::milliseconds{400};
 
-/// Between an append without an answer and the next try, doubled up to the
-/// limit; the time that was waited for the answer counts.
+/// Pause between an append without an answer and the next attempt, doubled each
+/// time up to the limit; time spent waiting for the answer counts.
 constexpr base::duration first_repeat_pause = std::chrono::milliseconds{5};
 constexpr base::duration longest_repeat_pause = std::chrono::milliseconds{100};
 
-/// What a look at the records at an offset brings at most: above the largest
-/// batch, whose records it compares.
+/// Size limit of the read that checks the records at an offset: above the
+/// largest batch, all records of which are compared.
 constexpr std::size_t look_bytes = std::size_t{1024} * 1024;
 
-/// Until a look at the log has begun to be answered; each without an answer is
-/// given twice the time, up to the limit.
+/// Time to the first byte of that read, doubled after each timeout up to the
+/// limit.
 constexpr base::duration look_timeout = std::chrono::milliseconds{500};
 constexpr base::duration look_timeout_limit = std::chrono::milliseconds{2'000};
 
-/// A look of which so long no byte comes lies on a silent connection.
+/// A read that makes no progress for this long is on a silent connection.
 constexpr base::duration look_stall = std::chrono::milliseconds{500};
 
-/// Above what a store that was quick until now takes for its first slow
-/// append, and below what clients wait.
+/// Limits of `stuck_limit`: above the time of the first slow append of a store
+/// that was fast, and below the timeouts of clients.
 constexpr base::duration least_stuck_limit = std::chrono::milliseconds{900};
 constexpr base::duration most_stuck_limit = std::chrono::milliseconds{1'600};
 constexpr int stuck_factor = 3;
 
-/// An append that takes longer is named in the log: what waited for it is late.
+/// Appends that take longer are logged, because whatever waited for them is
+/// late.
 constexpr base::duration slow_append = std::chrono::milliseconds{200};
 
 std::uint64_t bytes_of(std::vector<scheduler::record> const& records)
@@ -176,7 +179,8 @@
                  });
 }
 
-/// The newest try has no answer yet. It may be lost, so it is sent once more.
+/// The newest attempt has no answer yet. It may be lost, so the append is sent
+/// again.
 void reliable_append::overdue()
 {
     m_maybe_stored = true;
@@ -204,8 +208,8 @@
         m_maybe_stored = true;
         if (it.log_end < m_at)
         {
-            // Ours is not the log that the store has: nothing that was
-            // believed of it holds.
+            // The store's log is not the log that this process knows, so
+            // nothing known about it holds.
             finish(reliable_append_outcome::overtaken);
             return;
         }
@@ -239,8 +243,8 @@
     }
 }
 
-/// A connection that is reset at once costs no time, so a store that resets
-/// all of them would be asked three hundred times a second.
+/// Limits the rate of retries: a connection reset takes no time, and a store
+/// that resets all connections would get three hundred appends a second.
 void reliable_append::repeat(base::instant sent_at)
 {
     auto const pause =
@@ -268,8 +272,9 @@
 {
     if (it.outcome == read_end::trimmed)
     {
-        // The store dropped its history: the records stand or fall by the
-        // newest of their keys, and another writer's claim would be newer.
+        // The store has deleted these records: whether they took effect depends
+        // on the newest records of their keys, and another writer's claim would
+        // be newer.
         finish(reliable_append_outcome::unknown);
         return;
     }
@@ -293,8 +298,8 @@
                          : reliable_append_outcome::overtaken);
 }
 
-/// All of the records have to be there: a batch that was written anew may
-/// begin as the one before did.
+/// Compares all records, because a batch that was written again may begin like
+/// the one before.
 bool reliable_append::stands_at(read_result const& it) const
 {
     auto const n = std::min(it.entries.size(), m_records.size());
@@ -337,7 +342,7 @@
                    {"stored", it == reliable_append_outcome::stored ? 1 : 0},
                    {"took_s", base::seconds_of(took)}});
     }
-    // What other tries still bring is of no interest.
+    // Answers to other attempts are ignored.
     ++*m_generation;
     m_timer.cancel();
     m_busy = false;
--- a/libraries/cell/reliable_append.hpp
+++ b/libraries/cell/reliable_append.hpp
@@ -14,20 +14,21 @@
 namespace berylhill::cell
 {
 
-/// How long the store takes at the moment; how long a call is waited for
-/// before it is sent again follows from it. Not thread-safe.
+/// Tracks the latency of appends, from which the timeouts before a retry
+/// follow. Not thread-safe.
 class store_latency
 {
 public:
     void measured(base::duration it);
 
-    /// Until an append is sent again, after so many tries before.
+    /// How long to wait for an answer before an append is sent again, after
+    /// `tries` earlier attempts.
     [[nodiscard]] base::duration patience(std::uint32_t tries) const;
 
-    /// How long an append may take until the store counts as stuck: what waits
-    /// for it is then refused, and so is all new work. A store that is merely
-    /// slow takes each append in about the same time, and refusing what waits
-    /// behind one would refuse nearly all.
+    /// How long an append may take until the store counts as blocked, when
+    /// waiting and new work is refused. A merely slow store needs about the
+    /// same time for each append, and a shorter limit would refuse nearly all
+    /// work.
     [[nodiscard]] base::duration stuck_limit() const;
 
 private:
@@ -37,17 +38,17 @@
 enum class reliable_append_outcome : std::uint8_t
 {
     stored,
-    /// Another writer's record stands where these should.
+    /// Another writer's record is at the offset.
     overtaken,
-    /// Given up; whether it is stored is not known.
+    /// Given up; it is unknown whether the records are stored.
     unknown,
 };
 
-/// Appends records at one offset and goes on until it is certain what became
-/// of them. An append without an answer is repeated at the same offset while
-/// the earlier tries are still listened to: the store takes only one of them,
-/// and a store that is merely slow answers the first. Where the log has moved
-/// on, the record at the offset shows whose append it was.
+/// Appends records at one offset and retries until the outcome is certain. An
+/// append without an answer is repeated at the same offset while answers to
+/// earlier attempts are still accepted: the store accepts only one of them, and
+/// a merely slow store answers the first. If the log has moved on, the record
+/// at the offset shows whose append succeeded.
 ///
 /// One append at a time. Lives on the event loop.
 class reliable_append
@@ -63,8 +64,8 @@
     reliable_append& operator=(reliable_append const&) = delete;
     ~reliable_append();
 
-    /// Precondition: none is under way; `records` is not empty. `limit` 0:
-    /// never given up.
+    /// Starts an append. Precondition: none is in progress and `records` is not
+    /// empty. `limit` is the time after which it is given up; 0: never.
     void begin(std::uint64_t at,
                std::vector<scheduler::record> records,
                base::duration limit,
@@ -75,19 +76,19 @@
         return m_busy;
     }
 
-    /// The store has refused the append under way more than once.
+    /// The store has refused the current append more than once.
     [[nodiscard]] bool refused() const noexcept
     {
         return m_busy && m_refusals > 1;
     }
 
-    /// Takes an append back that is surely not stored: all its tries were
-    /// refused, and none is under way. `done` is then never called. Returns
-    /// false, and changes nothing, where it may be stored.
+    /// Takes back an append that is certainly not stored: all attempts were
+    /// refused and none is in flight. `done` is then never called. Returns
+    /// false and changes nothing if the records may be stored.
     bool take_back();
 
 private:
-    /// It has taken longer than it may.
+    /// Whether the append has exceeded its limit.
     [[nodiscard]] bool over() const;
     void send();
     void answered(append_result const& it, base::instant sent_at);
@@ -111,13 +112,13 @@
     base::instant m_began{};
     std::uint32_t m_tries{0};
     std::uint32_t m_refusals{0};
-    /// Looks at what stands at the offset.
+    /// Reads of the records at the offset so far.
     std::uint32_t m_looks{0};
-    /// A try had no answer: it may be stored, now or later.
+    /// An attempt had no answer: it may be stored, now or later.
     bool m_maybe_stored{false};
-    /// Tries whose answer may still come.
+    /// Attempts whose answer may still come.
     std::uint32_t m_awaiting{0};
-    /// The log is being read for what stands at the offset.
+    /// The records at the offset are being read.
     bool m_looking{false};
     bool m_busy{false};
     handler m_done;
--- a/libraries/cell/reliable_read.cpp
+++ b/libraries/cell/reliable_read.cpp
@@ -12,13 +12,13 @@
 namespace
 {
 
-/// An answer of which so long no byte comes lies on a silent connection.
+/// An answer that makes no progress for this long is on a silent connection.
 constexpr base::duration longest_stall = std::chrono::seconds{1};
 
-/// Questions under way at a time: each may bring the same large record again.
+/// Limit of concurrent requests: each may return the same large record.
 constexpr std::size_t most_questions = 4;
 
-/// A store that has taken so long may take a little longer the next time.
+/// After a slow answer the next one may take this much longer, in percent.
 constexpr std::int64_t slack_factor_percent = 150;
 constexpr base::duration most_slack = std::chrono::seconds{3};
 
@@ -110,8 +110,8 @@
                                });
 }
 
-/// An answer that has begun is not asked for again: it would come a second
-/// time over the same link.
+/// Sends another request unless an answer has begun: that answer would be sent
+/// a second time over the same link.
 void reliable_read::overdue()
 {
     if (m_awaiting >= most_questions || answer_comes() ||
@@ -150,7 +150,8 @@
     finish(std::move(it), idle ? asked_at + wait : asked_at);
 }
 
-/// A store that takes long each time is not asked several times each time.
+/// Adapts the slack to the response time, so that a constantly slow store does
+/// not get several requests for each read.
 void reliable_read::learn(base::duration took)
 {
     auto const wanted = took * slack_factor_percent / 100;
--- a/libraries/cell/reliable_read.hpp
+++ b/libraries/cell/reliable_read.hpp
@@ -16,37 +16,38 @@
 namespace berylhill::cell
 {
 
-/// How long an answer to one question is listened for, at most, until it
-/// begins. A store that takes longer is away.
+/// Upper limit of the time to the first byte of an answer. A store that takes
+/// longer counts as unavailable.
 inline constexpr base::duration max_response_delay = std::chrono::seconds{4};
 
-/// What is to be read. A value.
+/// A read request. A value.
 struct reliable_read_request
 {
     std::uint64_t from{0};
     /// How long the store may wait for a first record.
     base::duration wait{0};
     std::size_t most_bytes{0};
-    /// Beyond `wait`, until the read is given up if no answer has begun.
+    /// Time beyond `wait` after which the read is given up if no answer has
+    /// begun.
     base::duration limit{max_response_delay};
 
     friend bool operator==(reliable_read_request const&,
                            reliable_read_request const&) = default;
 };
 
-/// What a read of a log brought. A value.
+/// The result of a read. A value.
 struct reliable_read_result
 {
     read_result result;
-    /// When the log was surely as the result says, at the earliest.
+    /// A time at which the log was in the state that the result shows.
     base::instant as_of{};
 };
 
-/// Reads a log until the store has answered or has said that it does not. A
-/// question without an answer is put once more on another connection while the
-/// earlier ones are still listened to: a silent connection costs one pause, and
-/// a store or a link that is merely slow gets the time that it needs. Once an
-/// answer has begun, it may take as long as it keeps coming.
+/// Reads a log with hedged requests until the store answers or is considered
+/// unavailable. A request without an answer is sent again on another connection
+/// while answers to earlier ones are still accepted: a silent connection costs
+/// one pause, and a slow store or link gets the time that it needs. An answer
+/// that has begun may take as long as it makes progress.
 ///
 /// One read at a time. Lives on the event loop.
 class reliable_read
@@ -54,8 +55,8 @@
 public:
     using handler = std::function<void(reliable_read_result)>;
 
-    /// `name` is the log's, for our logs; `slack` is added to the time that the
-    /// store may wait before a question counts as overdue.
+    /// `name` is the log's name in log lines; `slack` is added to the time that
+    /// the store may wait before a request counts as overdue.
     reliable_read(boost::asio::io_context& loop,
                   base::clock const& clock,
                   keyed_log& log,
@@ -65,10 +66,11 @@
     reliable_read& operator=(reliable_read const&) = delete;
     ~reliable_read();
 
-    /// Ends the read under way, if there is one, without a word to its handler.
+    /// Starts a read. Cancels the current read, if any, without calling its
+    /// handler.
     void begin(reliable_read_request const& it, handler done);
 
-    /// Ends the read under way, if there is one; its handler is not called.
+    /// Cancels the current read, if any; its handler is not called.
     void cancel();
 
 private:
@@ -89,11 +91,11 @@
     std::shared_ptr<std::uint64_t> m_generation{
         std::make_shared<std::uint64_t>(0)};
     reliable_read_request m_goal;
-    /// When it is given up.
+    /// When the read is given up.
     base::instant m_until{};
     handler m_done;
     std::uint32_t m_tries{0};
-    /// Questions whose answer may still come.
+    /// Requests whose answer may still come.
     std::size_t m_awaiting{0};
     std::vector<network::call_handle> m_questions;
 };
--- a/libraries/cell/replica.hpp
+++ b/libraries/cell/replica.hpp
@@ -10,12 +10,12 @@
 namespace berylhill::cell
 {
 
-/// The newest records of the cell's log, kept by every process so that it can
-/// take the work over at once. Not thread-safe.
+/// The newest records of the cell's log, kept by standbys so that they can take
+/// over the work at once. Not thread-safe.
 class replica
 {
 public:
-    /// An empty value drops the key.
+    /// Sets the record of a key; an empty value deletes it.
     void set(std::string const& key, std::string const& value);
 
     void clear()
@@ -23,11 +23,11 @@
         m_records.clear();
     }
 
-    /// The owner of the newest claim; the token is 0 where there is none.
+    /// Returns the owner of the newest claim; its token is 0 if there is none.
     [[nodiscard]] owner_view owner() const;
 
-    /// How a job has ended, where its record says that it has: nothing that
-    /// comes later changes it.
+    /// Returns how a job has ended, if its record says that it has. Such a
+    /// record is final.
     [[nodiscard]] std::optional<scheduler::stored_status>
     end_of(workload::job_id it) const;
 
--- a/libraries/cell/round_pace.cpp
+++ b/libraries/cell/round_pace.cpp
@@ -8,16 +8,16 @@
 namespace
 {
 
-/// Between the beginnings of two rounds. A round costs the owner the more the
-/// more steps wait, and events come by the thousand a second in a large cell;
-/// a start waits half of this longer on average.
+/// Minimum time between the starts of two rounds. A round costs more the more
+/// steps wait, and a large cell has thousands of events a second; starts are
+/// delayed by half of this on average.
 constexpr base::duration least_pause = std::chrono::milliseconds{3};
 
-/// After a round others have the loop for so many times as long as it took.
+/// After a round the event loop serves others for this many times its duration.
 constexpr int others_share = 2;
 
-/// A round seems as long as the process was stopped meanwhile; the next one
-/// is not put off for that.
+/// Upper limit of the pause: a round seems long if the process was suspended
+/// meanwhile, which must not delay the next one.
 constexpr base::duration longest_pause = std::chrono::milliseconds{40};
 
 } // namespace
--- a/libraries/cell/round_pace.hpp
+++ b/libraries/cell/round_pace.hpp
@@ -5,14 +5,13 @@
 namespace berylhill::cell
 {
 
-/// When the owner's next round of decisions may begin. Rounds take a third of
-/// the event loop's time at most, whatever there is to decide: the other two
-/// are for calls about jobs, cancellations and the other processes, which wait
-/// for a round to end.
+/// Decides when the owner's next scheduling round may begin. Rounds use at most
+/// a third of the event loop's time; the rest is for calls about jobs,
+/// cancellations and the other processes, which wait for a round to end.
 ///
-/// Answers a load with more to decide than an instance's processor can do: a
-/// round then begins as soon as the one before has ended, and callers whose
-/// answers are ready wait behind both. Pure. Not thread-safe.
+/// Without this limit, when there is more to decide than the instance's
+/// processor can handle, rounds follow each other immediately and callers whose
+/// answers are ready wait behind them. Pure. Not thread-safe.
 class round_pace
 {
 public:
--- a/libraries/cell/yield_rule.cpp
+++ b/libraries/cell/yield_rule.cpp
@@ -8,15 +8,15 @@
 namespace
 {
 
-/// By then the others have found this owner.
+/// Time after which the other processes have found this owner.
 constexpr base::duration settled = std::chrono::milliseconds{1'500};
 
-/// A change is worth its price where another instance has this many times the
-/// processor time.
+/// A change of owner is worth its cost if another instance has this many times
+/// the processor time.
 constexpr double much_larger = 1.5;
 
-/// Above what a processor that is paused in tenths of a second shows under a
-/// load that it carries.
+/// Lag above this is an overload: more than a processor that is paused for
+/// tenths of a second shows under a load that it can handle.
 constexpr base::duration too_late = std::chrono::milliseconds{70};
 
 } // namespace
--- a/libraries/cell/yield_rule.hpp
+++ b/libraries/cell/yield_rule.hpp
@@ -9,12 +9,12 @@
 namespace berylhill::cell
 {
 
-/// What an owner knows of itself and the others. A value.
+/// The load of an owner and the processes that could succeed it. A value.
 struct owner_load
 {
     std::int64_t millicores{0};
     base::duration owned_for{0};
-    /// How late its event loop runs what is due.
+    /// How late its event loop runs timers that are due.
     base::duration lag{0};
     /// The processes that watch it.
     std::vector<peer> others;
@@ -25,18 +25,19 @@
     none,
     /// Another instance has much more processor time.
     larger_instance,
-    /// It cannot keep up, and another one has at least as much.
+    /// The owner cannot keep up, and another instance has at least as much
+    /// processor time.
     overloaded,
 };
 
-/// For logs.
+/// The name of the value in logs.
 [[nodiscard]] char const* name_of(yield_reason it);
 
-/// Whether an owner hands its work to another process. An owner on a small
-/// instance, or on one that has turned slow, holds up the whole cell: its
-/// answers come late, so the others take it for lost, and the work goes from
-/// one small instance to the next. A change costs some tenths of a second, so
-/// one that has just begun goes on.
+/// Returns whether an owner should hand its work to another process. An owner
+/// on a small or slowed-down instance delays the whole cell: its answers come
+/// late, so other processes consider it lost and the work moves from one small
+/// instance to the next. A change of owner takes some tenths of a second, so an
+/// owner that has just taken over continues.
 [[nodiscard]] yield_reason should_yield(owner_load const& it);
 
 } // namespace berylhill::cell
