--- a/tests/cell/advice_dispatcher_test.cpp
+++ b/tests/cell/advice_dispatcher_test.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-class held_link final : public cell::advice_link
+class manual_advice_service final : public cell::advice_link
 {
 public:
     void ask(workload::step_name const& step,
@@ -24,7 +24,7 @@
         open.emplace_back(step.step_index, std::move(handler));
     }
 
-    /// Answers the oldest question; returns the number of its step.
+    /// Answers the oldest request; returns the number of its step.
     std::uint32_t answer()
     {
         auto const [step, handler] = std::move(open.front());
@@ -50,7 +50,7 @@
     base::manual_clock clock;
     network::http_client client{loop, {}};
     cell::peer_client peers{client};
-    held_link own;
+    manual_advice_service own;
     cell::advice_dispatcher desk{clock, own, peers,
                                  []
                                  {
@@ -66,10 +66,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(advice_dispatcher, fixture)
 
-/// A user's urgent work waits for most of a second. All questions for advice
-/// lie at the machine of the owner, short ones behind long ones, and the
+/// Guards against urgent work that waits for most of a second: all requests
+/// queue up at the owner's machine, short ones behind long ones, and the
 /// service answers one at a time.
-BOOST_AUTO_TEST_CASE(a_short_question_passes_long_ones_that_wait)
+BOOST_AUTO_TEST_CASE(short_request_overtakes_waiting_long_ones)
 {
     ask(1, long_time);
     ask(2, long_time);
@@ -83,7 +83,7 @@
                boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(every_question_is_answered_once)
+BOOST_AUTO_TEST_CASE(every_request_is_answered_once)
 {
     for (std::uint32_t n = 0; n < 20; ++n)
     {
--- a/tests/cell/advice_queue_test.cpp
+++ b/tests/cell/advice_queue_test.cpp
@@ -18,7 +18,7 @@
 constexpr std::chrono::milliseconds long_time{800};
 base::instant const start{std::chrono::seconds{100}};
 
-/// A question whose answer is needed so long from now.
+/// An advice request whose answer is needed after `needed_in`.
 scheduler::advice_order
 order(base::duration expected, base::duration needed_in = {}, bool late = false)
 {
@@ -40,7 +40,7 @@
     return out;
 }
 
-/// The questions that are under way, in the order in which they went out.
+/// The requests in flight, in the order in which they were sent.
 std::vector<std::uint64_t> sent(advice_queue& queue, std::size_t others)
 {
     std::vector<std::uint64_t> out;
@@ -57,7 +57,7 @@
     std::size_t others;
     std::chrono::milliseconds expected;
     int questions;
-    /// How many are under way at once, and how many of them from here.
+    /// How many are in flight at once, and how many of them from this process.
     std::size_t under_way;
     std::size_t own;
 };
@@ -68,21 +68,22 @@
 }
 
 spread_case const spreads[] = {
-    {"alone it asks one long question at a time", 0, long_time, 3, 1, 1},
-    {"alone it has two short ones under way", 0, short_time, 3, 2, 2},
-    {"the first short one stays here", 6, short_time, 1, 1, 1},
-    {"short ones that come together are spread", 6, short_time, 7, 7, 1},
-    {"long ones leave this machine and one more to short ones", 6, long_time,
-     20, 5, 0},
-    {"a large cell keeps a fifth for short ones", 36, long_time, 80, 30, 0},
-    {"with few others all take long ones", 2, long_time, 3, 3, 1},
+    {"a single process has one long request in flight", 0, long_time, 3, 1, 1},
+    {"a single process has two short requests in flight", 0, short_time, 3, 2,
+     2},
+    {"the first short request is sent by this process", 6, short_time, 1, 1, 1},
+    {"concurrent short requests are spread", 6, short_time, 7, 7, 1},
+    {"two machines are reserved for short requests", 6, long_time, 20, 5, 0},
+    {"a large cell reserves a fifth for short requests", 36, long_time, 80, 30,
+     0},
+    {"few machines all take long requests", 2, long_time, 3, 3, 1},
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(questions_for_advice)
+BOOST_AUTO_TEST_SUITE(advice_request_order)
 
-BOOST_DATA_TEST_CASE(questions_are_spread_over_the_machines,
+BOOST_DATA_TEST_CASE(requests_are_spread_over_machines,
                      boost::unit_test::data::make(spreads))
 {
     advice_queue queue;
@@ -101,10 +102,10 @@
     BOOST_TEST(own == sample.own);
 }
 
-/// Urgent work waits 0.8 s after a change of owner. The steps of all gangs ask
-/// at once, each answer takes a second, and an urgent question that came later
-/// lay behind them at its machine.
-BOOST_AUTO_TEST_CASE(an_urgent_question_passes_a_hundred_long_ones)
+/// Guards against urgent work that waits 0.8 s after a change of owner: the
+/// steps of all gangs ask at once, each answer takes a second, and a later
+/// urgent request queues behind them at its machine.
+BOOST_AUTO_TEST_CASE(urgent_request_overtakes_a_hundred_long_ones)
 {
     advice_queue queue;
     for (std::uint64_t n = 0; n < 100; ++n)
@@ -118,7 +119,7 @@
     BOOST_TEST(it->question == 1'000U);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_needed_first_is_asked_first_and_late_work_last)
+BOOST_AUTO_TEST_CASE(earliest_deadline_first_and_late_work_last)
 {
     advice_queue queue;
     queue.add(1, order(long_time, std::chrono::seconds{1}, true));
@@ -129,9 +130,9 @@
                boost::test_tools::per_element());
 }
 
-/// Urgent work waits for a machine that is cut off: it gives no answer, so it
-/// asks nothing, and of all machines it seemed the one with least to do.
-BOOST_AUTO_TEST_CASE(a_machine_without_an_answer_is_left_alone)
+/// Guards against urgent work that waits for an unreachable machine: without
+/// answers it has no requests in flight and seems the least busy.
+BOOST_AUTO_TEST_CASE(machine_that_did_not_answer_is_avoided)
 {
     advice_queue queue;
     queue.add(1, order(short_time));
@@ -144,7 +145,7 @@
     BOOST_TEST((second->machine != first->machine));
 }
 
-BOOST_AUTO_TEST_CASE(where_all_are_left_alone_one_is_asked)
+BOOST_AUTO_TEST_CASE(one_machine_is_used_if_all_are_avoided)
 {
     advice_queue queue;
     for (std::uint64_t n = 1; n < 4; ++n)
--- a/tests/cell/batch_waiters_test.cpp
+++ b/tests/cell/batch_waiters_test.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// What a client does, or the store, one after the other.
+/// An action of a client or the store.
 enum class event : std::uint8_t
 {
     submit_first,
@@ -29,7 +29,7 @@
 {
     char const* name;
     std::vector<event> events;
-    /// Each client's job, in the order in which they are told.
+    /// The job of each client, in the order in which they are answered.
     std::vector<std::uint64_t> refused;
     std::vector<std::uint64_t> accepted;
 };
@@ -69,7 +69,7 @@
      {}},
 };
 
-/// The clients, and an owner that knows which jobs it has not sent.
+/// Clients, and an owner that knows which jobs it has not sent.
 struct fixture
 {
     void submit(std::uint64_t id)
@@ -133,12 +133,12 @@
 
 BOOST_FIXTURE_TEST_SUITE(batch_waiters, fixture)
 
-/// A user's job was accepted, and seconds later nobody knows it. The store
-/// takes nothing for a while; the call that hands the job in gets no answer
-/// and comes again, so two clients wait for one job. The job was taken back
-/// with the first one's refusal; the second one's answer waited for the next
-/// batch, which said that it was accepted.
-BOOST_DATA_TEST_CASE(every_client_of_a_job_hears_the_same,
+/// Guards against a job that is reported as accepted and then unknown. While
+/// the store is blocked a submission gets no answer and is retried, so two
+/// clients wait for one job. The job was withdrawn when the first client was
+/// refused, but the second client waited for the next batch and was told that
+/// the job was accepted.
+BOOST_DATA_TEST_CASE(all_clients_of_a_job_get_the_same_answer,
                      boost::unit_test::data::make(cases))
 {
     for (auto const it : sample.events)
@@ -149,7 +149,7 @@
     BOOST_TEST(accepted == sample.accepted, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(nobody_is_kept_beyond_its_time)
+BOOST_AUTO_TEST_CASE(clients_are_answered_at_their_deadline)
 {
     submit(1);
     waiters.batch_sent();
--- a/tests/cell/call_check_test.cpp
+++ b/tests/cell/call_check_test.cpp
@@ -47,7 +47,7 @@
      call_verdict::allowed},
     {"decided by a newer one", 15, "new", "/new/", "team", "k9",
      call_verdict::allowed},
-    {"by a program that names none", 0, "old", "/old/", "team", "k1",
+    {"by a release that sends no version", 0, "old", "/old/", "team", "k1",
      call_verdict::allowed},
 };
 
@@ -72,9 +72,9 @@
 
 BOOST_AUTO_TEST_SUITE(call_check)
 
-/// A route that was taken out is served by a process that is behind, though
-/// the owner that answers it knows better.
-BOOST_DATA_TEST_CASE(an_outdated_call_is_found,
+/// Guards against a removed route that is still served because the process that
+/// accepts the call has an older configuration than the owner.
+BOOST_DATA_TEST_CASE(outdated_call_is_detected,
                      boost::unit_test::data::make(call_cases))
 {
     cell::job_call it;
--- a/tests/cell/compressed_text_test.cpp
+++ b/tests/cell/compressed_text_test.cpp
@@ -38,13 +38,13 @@
 }
 
 text_case const text_cases[] = {
-    {"nothing", ""},
+    {"empty", ""},
     {"a letter", "x"},
     {"queues", queues(1'400)},
-    {"as much as may be", std::string(most, 'x')},
+    {"the size limit", std::string(most, 'x')},
 };
 
-bool comes_back(std::string_view it, std::size_t limit)
+bool decompresses(std::string_view it, std::size_t limit)
 {
     return base::capture([&] { return cell::decompressed(it, limit); })
         .has_value();
@@ -54,7 +54,7 @@
 
 BOOST_AUTO_TEST_SUITE(compressed_text)
 
-BOOST_DATA_TEST_CASE(it_comes_back_whole,
+BOOST_DATA_TEST_CASE(text_survives_a_round_trip,
                      boost::unit_test::data::make(text_cases))
 {
     auto const out = base::capture(
@@ -64,19 +64,20 @@
     BOOST_TEST(out.value() == sample.text);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_cut_or_too_large_is_refused)
+BOOST_AUTO_TEST_CASE(truncated_or_too_large_text_is_refused)
 {
     auto const it = cell::compressed(queues(1'400));
     BOOST_TEST(it.size() < queues(1'400).size() / 4);
     BOOST_TEST(
-        !comes_back(std::string_view{it}.substr(0, it.size() / 2), most));
-    BOOST_TEST(!comes_back("no packed text", most));
-    BOOST_TEST(!comes_back(cell::compressed(std::string(most + 1, 'x')), most));
+        !decompresses(std::string_view{it}.substr(0, it.size() / 2), most));
+    BOOST_TEST(!decompresses("no compressed text", most));
+    BOOST_TEST(
+        !decompresses(cell::compressed(std::string(most + 1, 'x')), most));
 }
 
-/// Hundreds of processes ask one for its configuration at once, and calls on
-/// its link wait behind the copies.
-BOOST_AUTO_TEST_CASE(copies_take_their_part_of_the_link)
+/// Guards against calls that are delayed behind copies of the configuration
+/// when hundreds of processes fetch it from one process.
+BOOST_AUTO_TEST_CASE(copies_are_limited_to_their_share_of_the_link)
 {
     constexpr std::size_t copy = 40'000;
     cell::byte_budget it{1'000'000, 64'000};
--- a/tests/cell/configuration_random_test.cpp
+++ b/tests/cell/configuration_random_test.cpp
@@ -18,12 +18,14 @@
 
 constexpr std::size_t processes = 8;
 
-/// Of the run, and of its calm end, in which all has to be in force.
+/// Duration of a run, and the start of its final phase without faults, at whose
+/// end all versions must be in force.
 constexpr milliseconds length{60'000};
 constexpr milliseconds calm_from{50'000};
 
-/// Processes that read the operators' log and ask each other, over links that
-/// hold messages up; versions are accepted at random moments. Virtual time.
+/// Processes that read the operators' log and ask each other over links that
+/// delay messages, while versions are accepted at random times. Runs in virtual
+/// time.
 class world
 {
 public:
@@ -43,7 +45,7 @@
         }
     }
 
-    /// What was broken; empty where nothing was.
+    /// Returns the violated rule; empty if there was none.
     std::string run()
     {
         while (!m_events.empty() && m_events.begin()->first < end())
@@ -57,7 +59,8 @@
         {
             if (it.version != newest())
             {
-                m_broken = "a version is not in force at the end";
+                m_broken =
+                    "a process does not have the newest version at the end";
             }
         }
         return m_broken;
@@ -91,7 +94,8 @@
         return draw(0, 99) < milliseconds{percent};
     }
 
-    /// A message's way: quick, but for one in five until the end.
+    /// Transit time of a message: short, except for one in five before the
+    /// final phase.
     milliseconds way()
     {
         return !calm() && chance(20) ? draw(50, 900) : draw(0, 5);
@@ -121,7 +125,7 @@
         }
     }
 
-    /// A process reads the log, where it reaches it.
+    /// A process reads the log, if it reaches the store.
     void read(std::size_t n)
     {
         auto const asked_at = m_now;
@@ -146,8 +150,7 @@
            });
     }
 
-    /// A process asks another for its version, and fetches it where it is
-    /// behind.
+    /// A process asks another for its version, and fetches it if it is newer.
     void ask(std::size_t n)
     {
         auto const other =
@@ -194,8 +197,8 @@
            });
     }
 
-    /// No process takes its version for the newest as of a time at which a
-    /// newer one had been accepted.
+    /// Checks that no process considers its version the newest as of a time
+    /// when a newer one had been accepted.
     void check()
     {
         for (auto const& it : m_members)
@@ -205,7 +208,7 @@
             if (next < m_accepted.size() && confirmed > m_accepted[next])
             {
                 m_broken = "version " + std::to_string(it.version) +
-                           " is taken for the newest";
+                           " is wrongly considered the newest";
             }
         }
     }
@@ -223,9 +226,9 @@
 
 BOOST_AUTO_TEST_SUITE(configuration_random)
 
-/// A process serves an old version and takes it for the newest, or stays
-/// behind though others have the newer one.
-BOOST_AUTO_TEST_CASE(a_version_is_never_taken_for_the_newest_wrongly)
+/// Guards against a process that considers an old version the newest, or that
+/// stays behind although others have the newer one.
+BOOST_AUTO_TEST_CASE(old_version_is_never_considered_the_newest)
 {
     constexpr std::uint32_t seeds = 200;
     for (std::uint32_t seed = 1; seed <= seeds; ++seed)
--- a/tests/cell/configuration_spread_test.cpp
+++ b/tests/cell/configuration_spread_test.cpp
@@ -17,9 +17,9 @@
 struct heard_case
 {
     char const* name;
-    /// Since the store last answered.
+    /// Time since the store last answered.
     milliseconds unread;
-    /// Since a newer version was first heard of.
+    /// Time since a newer version was first heard of.
     milliseconds known_for;
     std::int64_t theirs;
     bool fetches;
@@ -33,11 +33,11 @@
 heard_case const cases[] = {
     {"the same version", milliseconds{5'000}, milliseconds{0}, own, false},
     {"an older version", milliseconds{5'000}, milliseconds{0}, 6, false},
-    {"a newer one, and the store turns this process away", milliseconds{5'000},
+    {"a newer one, and the store is unavailable", milliseconds{5'000},
      milliseconds{0}, 8, true},
-    {"a newer one that it will read itself", milliseconds{50}, milliseconds{0},
-     8, false},
-    {"a newer one that it should have read by now", milliseconds{50},
+    {"a newer one that this process will read itself", milliseconds{50},
+     milliseconds{0}, 8, false},
+    {"a newer one that this process should have read by now", milliseconds{50},
      milliseconds{300}, 8, true},
 };
 
@@ -45,9 +45,9 @@
 
 BOOST_AUTO_TEST_SUITE(configuration_spread)
 
-/// A key that was taken away is served for as long as the store turns a
-/// process away: nobody else told it of the newer version.
-BOOST_DATA_TEST_CASE(a_process_that_is_behind_fetches,
+/// Guards against a process that serves a removed key for as long as it cannot
+/// read the store, because no other process tells it of the newer version.
+BOOST_DATA_TEST_CASE(process_with_an_older_version_fetches,
                      boost::unit_test::data::make(cases))
 {
     cell::configuration_spread it;
@@ -60,15 +60,16 @@
         now += sample.known_for;
     }
     BOOST_TEST(it.on_version_heard(sample.theirs, own, now) == sample.fetches);
-    // One at a time.
+    // Only one fetch at a time.
     BOOST_TEST(!it.on_version_heard(sample.theirs, own, now));
     it.on_fetch_ended(cell::fetch_end::received);
     BOOST_TEST(it.on_version_heard(sample.theirs, own, now) == sample.fetches);
 }
 
-/// A process that never read the store knows nothing, and one that hears from
-/// another that its version is the newest knows as much as that one.
-BOOST_AUTO_TEST_CASE(what_another_confirms_is_as_new_as_it_says)
+/// A process that never read the store has no confirmed version. If another
+/// process reports the same version, its confirmation is as old as that
+/// process's.
+BOOST_AUTO_TEST_CASE(confirmation_is_as_old_as_reported)
 {
     cell::configuration_spread it;
     base::instant const now{std::chrono::seconds{100}};
@@ -79,10 +80,10 @@
     BOOST_TEST((it.age(now) == milliseconds{400}));
 }
 
-/// Two processes that the store turns away keep telling each other that their
-/// version is the newest: the time that an answer was under way was not
-/// counted, so it was younger with each.
-BOOST_AUTO_TEST_CASE(a_version_does_not_grow_younger_between_processes)
+/// Guards against two processes without the store that confirm each other's
+/// version as newer and newer, because the transit time of answers was not
+/// counted.
+BOOST_AUTO_TEST_CASE(age_does_not_shrink_between_processes)
 {
     constexpr milliseconds under_way{300};
     cell::configuration_spread one;
@@ -101,9 +102,10 @@
     }
 }
 
-/// A process that asks others for a newer version is told by each read of its
-/// own, short of that version, to wait for itself.
-BOOST_AUTO_TEST_CASE(a_newer_version_is_not_forgotten_for_a_read)
+/// Guards against a read of the store that ends before a newer version and
+/// resets the time since that version was heard of, so that it is never
+/// fetched.
+BOOST_AUTO_TEST_CASE(newer_version_is_not_forgotten_after_a_read)
 {
     cell::configuration_spread it;
     base::instant now{std::chrono::seconds{100}};
@@ -117,8 +119,9 @@
     BOOST_TEST((it.behind(now) == milliseconds{0}));
 }
 
-/// A copy that takes an owner longer than usual to begin is never waited for.
-BOOST_AUTO_TEST_CASE(a_fetch_without_an_answer_is_given_more_time)
+/// Guards against a copy that always takes longer to begin than the timeout of
+/// a fetch.
+BOOST_AUTO_TEST_CASE(failed_fetch_doubles_the_timeout)
 {
     cell::configuration_spread it;
     auto const first = it.fetch_timeout();
--- a/tests/cell/fake_log.hpp
+++ b/tests/cell/fake_log.hpp
@@ -21,14 +21,14 @@
 enum class fate : std::uint8_t
 {
     store,
-    /// Stores it and says nothing.
+    /// Stores it and does not answer.
     store_silently,
-    /// Says nothing; `deliver_late` stores it if its offset still fits.
+    /// Does not answer; `deliver_late` stores it if its offset still fits.
     delay,
-    /// Loses it, and says nothing until the caller's timeout.
+    /// Loses it and does not answer until the caller's timeout.
     silent,
-    /// Takes `slow_time` for it, one append at a time, and then answers; the
-    /// caller hears nothing from its own timeout on.
+    /// Takes `slow_time`, one append at a time, and then answers; the caller
+    /// gets no answer after its own timeout.
     slow,
     refuse,
 };
@@ -156,7 +156,7 @@
             [this, end, handler = std::move(handler),
              out = std::move(out)](auto)
             {
-                // The log goes on between the pages.
+                // The log grows between the pages.
                 put(std::exchange(between_pages, {}));
                 handler(out);
             });
@@ -167,7 +167,7 @@
         log.insert(log.end(), records.begin(), records.end());
     }
 
-    /// Carries out the appends that were delayed, where they still fit.
+    /// Stores the delayed appends whose offset still fits.
     void deliver_late()
     {
         for (auto const& [at, records] : std::exchange(m_late, {}))
@@ -185,29 +185,28 @@
     std::vector<scheduler::record> between_pages;
     std::deque<fate> fates;
     std::size_t appends{0};
-    /// The most that one read brought, bytes of keys and values.
+    /// The largest read so far, in bytes of keys and values.
     std::size_t largest_read{0};
     std::size_t reads{0};
 
     base::duration slow_time{std::chrono::milliseconds{240}};
 
-    /// What the link of the reading machine carries, bytes a second; 0: any
-    /// amount at once.
+    /// Bandwidth of the reading machine's link in bytes a second; 0: unlimited.
     std::size_t link_bytes_per_s{0};
-    /// Until a page of the newest records begins to come.
+    /// Time until a page of the newest records begins to arrive.
     base::duration page_delay{0};
-    /// Pages that did not come through before the caller gave them up.
+    /// Pages that did not arrive before the caller's timeout.
     std::size_t pages_lost{0};
 
-    /// Until the answer to a read begins.
+    /// Time until the answer to a read begins.
     base::duration read_delay{0};
-    /// The next read is never answered, where it is 1.
+    /// If 1, the next read is never answered.
     std::size_t silent_reads{0};
-    /// A read brings no record that is larger than what was asked for.
+    /// A read returns no record that is larger than the requested size.
     bool strict_size{false};
 
 private:
-    /// A read whose answer is on its way.
+    /// A read whose answer is in transit.
     class read_call final : public network::call_under_way,
                             public std::enable_shared_from_this<read_call>
     {
@@ -331,7 +330,7 @@
     }
 
     boost::asio::io_context& m_loop;
-    /// What the appends under way take in all.
+    /// Total time of the appends in progress.
     base::duration m_queue{0};
     std::vector<std::pair<std::uint64_t, std::vector<scheduler::record>>>
         m_late;
--- a/tests/cell/hold_list_test.cpp
+++ b/tests/cell/hold_list_test.cpp
@@ -28,10 +28,10 @@
 
 BOOST_AUTO_TEST_SUITE(hold_list)
 
-/// A cell of 3,000 instances: the owner spent its processor on walks over all
-/// of them, hundreds a second, to find the few to ask again, and served nearly
-/// nothing. All are asked; two answer; only those two are looked at.
-BOOST_AUTO_TEST_CASE(only_instances_without_a_question_are_looked_at)
+/// Guards against an owner of 3,000 instances that uses up its processor by
+/// walking over all of them hundreds of times a second. All have a request in
+/// flight; two answer, and only those two are examined.
+BOOST_AUTO_TEST_CASE(only_instances_without_a_request_are_examined)
 {
     constexpr int instances = 3'000;
     cell::hold_list it;
@@ -55,11 +55,10 @@
                boost::test_tools::per_element());
 }
 
-/// An owner of 3,000 instances is lost, and users wait for seconds though
-/// another one takes over at once: it asks all instances before it answers
-/// anybody, so the others take it for lost too. It asks some at a time, first
-/// those where work runs.
-BOOST_AUTO_TEST_CASE(a_new_owner_asks_some_at_a_time)
+/// Guards against a new owner of 3,000 instances that sends requests to all of
+/// them before it answers anybody, so that other processes consider it lost
+/// too. It sends a few at a time, first to instances with running work.
+BOOST_AUTO_TEST_CASE(new_owner_sends_a_few_requests_at_a_time)
 {
     cell::hold_list it;
     for (auto const* const id : {"i-1", "i-2", "i-3", "i-4"})
@@ -79,9 +78,9 @@
     BOOST_TEST(it.take_due(at_ms(2), 0, 2, standing_of).empty());
 }
 
-/// An instance that holds nothing rests; a start that is sent there must be
-/// heard of at once when it ends.
-BOOST_AUTO_TEST_CASE(a_start_ends_the_rest_of_an_instance)
+/// The end of a task that was started during an instance's rest must be
+/// reported at once.
+BOOST_AUTO_TEST_CASE(start_ends_the_rest_of_an_instance)
 {
     cell::hold_list it;
     it.add("i-1");
@@ -92,7 +91,7 @@
     BOOST_TEST(it.take_due(at_ms(3'999), 0, all, callable).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_instance_is_asked_again_after_its_pause)
+BOOST_AUTO_TEST_CASE(failed_request_is_retried_after_a_pause)
 {
     cell::hold_list it;
     it.add("i-1");
@@ -102,9 +101,9 @@
     BOOST_TEST(it.take_due(at_ms(200), 0, all, callable).size() == 1U);
 }
 
-/// Another's entry under a service that no queue goes to: once a queue does,
-/// the instance is asked.
-BOOST_AUTO_TEST_CASE(an_instance_is_asked_once_it_may_be)
+/// An entry of a service that no queue uses becomes callable once a queue uses
+/// the service.
+BOOST_AUTO_TEST_CASE(instance_is_asked_once_it_is_callable)
 {
     cell::hold_list it;
     it.add("i-1");
@@ -114,10 +113,10 @@
     BOOST_TEST(it.take_due(at_ms(1), 0, all, callable).size() == 1U);
 }
 
-/// An instance goes while a question to it is under way, and its entry comes
-/// back before the answer: it must not be asked twice at once, and must be
-/// asked again.
-BOOST_AUTO_TEST_CASE(an_instance_listed_again_is_asked_once)
+/// An instance is removed while a request to it is in flight, and listed again
+/// before the answer: it must not get two requests at once, and must get
+/// another one later.
+BOOST_AUTO_TEST_CASE(relisted_instance_gets_one_request)
 {
     cell::hold_list it;
     it.add("i-1");
--- a/tests/cell/hold_turn_test.cpp
+++ b/tests/cell/hold_turn_test.cpp
@@ -15,9 +15,9 @@
 struct turn_case
 {
     char const* name;
-    /// The batch that its ends are in; 0: it named none.
+    /// The batch that holds its ended attempts; 0: it reported none.
     std::uint64_t batch;
-    /// How many batches are stored when it is asked whether a question is due.
+    /// How many batches are stored when the next request is checked.
     std::uint64_t stored;
     bool due;
 };
@@ -38,9 +38,9 @@
 
 BOOST_AUTO_TEST_SUITE(hold_turn)
 
-/// An instance is asked for the same ends again and again, and each question is
-/// paid for: it names them until it is told that they are stored.
-BOOST_DATA_TEST_CASE(a_question_waits_until_ends_are_stored,
+/// Guards against repeated requests, which are billed, for the same ended
+/// attempts: an instance reports them until it is told that they are stored.
+BOOST_DATA_TEST_CASE(request_waits_until_ended_attempts_are_stored,
                      boost::unit_test::data::make(cases))
 {
     cell::hold_turn it;
@@ -50,7 +50,7 @@
     BOOST_TEST(it.due(base::instant{}, sample.stored) == sample.due);
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_instance_is_left_alone_for_a_moment)
+BOOST_AUTO_TEST_CASE(failed_request_is_retried_after_a_pause)
 {
     cell::hold_turn it;
     it.asked();
--- a/tests/cell/log_follower_test.cpp
+++ b/tests/cell/log_follower_test.cpp
@@ -58,7 +58,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(log_follower, fixture)
 
-BOOST_AUTO_TEST_CASE(it_keeps_up_with_the_newest_of_each_key)
+BOOST_AUTO_TEST_CASE(newest_record_of_each_key_is_followed)
 {
     log.put({{"a", "1"}, {"b", "1"}, {"a", "2"}});
     follower.start();
@@ -70,9 +70,10 @@
     BOOST_TEST(follower.next_offset() == 5U);
 }
 
-/// A user's job that was accepted is unknown to the next owner. It was written
-/// while the records were read page by page, under a key that had passed.
-BOOST_AUTO_TEST_CASE(what_is_written_between_pages_is_read_too)
+/// Guards against an accepted job that the next owner does not know, because it
+/// was written while the records were read page by page, under a key on an
+/// earlier page.
+BOOST_AUTO_TEST_CASE(record_written_between_pages_is_read)
 {
     log.page = 1;
     log.put({{"a", "1"}, {"b", "1"}, {"c", "1"}});
@@ -82,7 +83,7 @@
     BOOST_TEST((seen == map{{"a", "2"}, {"aa", "1"}, {"b", "1"}}));
 }
 
-BOOST_AUTO_TEST_CASE(a_dropped_history_is_read_anew)
+BOOST_AUTO_TEST_CASE(trimmed_log_is_read_again)
 {
     log.put({{"a", "1"}, {"b", "1"}});
     follower.start();
@@ -93,7 +94,7 @@
     BOOST_TEST((seen == map{{"b", "1"}, {"c", "1"}}));
 }
 
-BOOST_AUTO_TEST_CASE(catching_up_says_when_the_end_is_reached)
+BOOST_AUTO_TEST_CASE(catching_up_reports_the_end)
 {
     log.put({{"a", "1"}});
     follower.start();
@@ -112,10 +113,10 @@
     BOOST_TEST(!*done);
 }
 
-/// Tasks go on being started on instances that leave. The owner's processor
-/// was short, an answer with all that it had missed came in too many pieces
-/// for its deadline, and each later one was larger.
-BOOST_AUTO_TEST_CASE(a_long_backlog_is_read_in_small_parts)
+/// Guards against tasks that are started on instances that leave: a slow owner
+/// got everything it had missed in one answer, too late for its deadline, and
+/// each later answer was larger.
+BOOST_AUTO_TEST_CASE(backlog_is_read_in_parts)
 {
     follower.start();
     run();
@@ -129,10 +130,10 @@
     BOOST_TEST(log.largest_read <= std::size_t{128} * 1024);
 }
 
-/// A claim after the loss of an owner is put off again and again: the log is
-/// longer than one read, and a read that ends before the end of the log was
-/// taken for one that fails.
-BOOST_AUTO_TEST_CASE(catching_up_reads_on_until_the_end)
+/// Guards against a claim that is delayed repeatedly after the loss of an
+/// owner: the log is longer than one read, and a read that ended before the end
+/// of the log was treated as failed.
+BOOST_AUTO_TEST_CASE(catching_up_reads_to_the_end)
 {
     follower.start();
     run();
@@ -148,10 +149,10 @@
     BOOST_TEST(follower.next_offset() == 8U);
 }
 
-/// The last machines that are left are small, and none of them ever takes the
-/// work over: a page of the records takes longer on their links than a read is
-/// given, however often it is read again.
-BOOST_AUTO_TEST_CASE(a_page_that_takes_long_is_given_more_time)
+/// Guards against a cell of small machines that never gets an owner: a page of
+/// the records takes longer on their links than the timeout of a read, which
+/// never grew.
+BOOST_AUTO_TEST_CASE(slow_page_gets_a_longer_timeout)
 {
     log.put({{"a", "1"}});
     log.page_delay = std::chrono::milliseconds{1'500};
@@ -161,9 +162,8 @@
     BOOST_TEST(log.pages_lost == 1U);
 }
 
-/// The same, where the link is slow: a page that keeps coming is not given up
-/// at all.
-BOOST_AUTO_TEST_CASE(a_page_that_keeps_coming_is_not_given_up)
+/// As above, on a slow link: a page that makes progress is not given up.
+BOOST_AUTO_TEST_CASE(page_that_makes_progress_is_not_given_up)
 {
     constexpr std::size_t bytes = 3'000;
     log.put({{"a", std::string(bytes, 'x')}});
@@ -174,10 +174,10 @@
     BOOST_TEST(log.pages_lost == 0U);
 }
 
-/// A route that was taken out is served for good, and each read says that all
-/// is read: the store gives nothing of a record that is larger than what was
-/// asked for.
-BOOST_AUTO_TEST_CASE(a_record_larger_than_a_read_is_asked_for)
+/// Guards against a removed route that is served forever: the store returns
+/// nothing of a record larger than the requested size, and each such read
+/// counted as complete.
+BOOST_AUTO_TEST_CASE(record_larger_than_the_size_limit_is_read)
 {
     std::vector<base::instant> ends;
     follower.on_end_reached([&](base::instant it) { ends.push_back(it); });
@@ -193,8 +193,9 @@
     BOOST_TEST((ends.back() >= put_at));
 }
 
-/// What has come another way is not read again over a slow link.
-BOOST_AUTO_TEST_CASE(a_read_of_what_is_known_is_broken_off)
+/// Records that are known from another source are not read again over a slow
+/// link.
+BOOST_AUTO_TEST_CASE(read_of_skipped_records_is_cancelled)
 {
     follower.start();
     run();
@@ -209,9 +210,10 @@
     BOOST_TEST(follower.next_offset() == 2U);
 }
 
-/// A version is taken for the newest though a newer one is in the log: a read
-/// that stopped short of the end counted as one that reached it.
-BOOST_AUTO_TEST_CASE(a_read_that_stops_short_has_not_reached_the_end)
+/// Guards against a version that is considered the newest although the log has
+/// a newer one: a read that ended before the end of the log counted as
+/// complete.
+BOOST_AUTO_TEST_CASE(partial_read_does_not_report_the_end)
 {
     std::size_t told = 0;
     follower.on_end_reached(
--- a/tests/cell/ownership_test.cpp
+++ b/tests/cell/ownership_test.cpp
@@ -38,7 +38,7 @@
     void ended() override {}
 };
 
-/// A process that has just started, beside a log that others have written.
+/// A process that has just started, with a log written by others.
 struct fixture
 {
     void run(std::chrono::milliseconds span)
@@ -47,7 +47,7 @@
         loop.run_for(span);
     }
 
-    /// The records of as many jobs, each of a kilobyte, and an owner's claim.
+    /// Appends records of `jobs` jobs, a kilobyte each, and an owner's claim.
     void fill(std::size_t jobs, cell::owner_view const& claim)
     {
         constexpr std::size_t kilobyte = 1'024;
@@ -96,15 +96,15 @@
 
 BOOST_FIXTURE_TEST_SUITE(ownership, fixture)
 
-/// After a loss of all power users get no answer about their jobs for good,
-/// though the cell has an owner again: each machine reads the records of all
-/// jobs to find the owner's among them. A page of these takes longer on the
-/// link of a small machine than the read may take, each time.
-BOOST_AUTO_TEST_CASE(the_owner_is_found_on_a_link_too_slow_for_the_jobs)
+/// Guards against processes that never find the owner after a full power loss:
+/// each reads the records of all jobs to find the owner's claim, and on the
+/// link of a small machine a page of them takes longer than the read timeout,
+/// every time.
+BOOST_AUTO_TEST_CASE(owner_is_found_on_a_link_too_slow_for_the_job_records)
 {
     log.page = 1'000;
     log.link_bytes_per_s = 500'000;
-    // Nobody answers at the address: what is tested is that it is known.
+    // Nothing listens at the address; the test only checks that it is known.
     fill(5'000, {77, "large", {"127.0.0.1", 2}, "other"});
     owner.start();
     run(std::chrono::milliseconds{200});
@@ -112,11 +112,11 @@
     BOOST_TEST(owner.owner().instance == "large");
 }
 
-/// In a cell of thousands of instances one machine restarts, and all users
-/// wait for seconds: a new owner, busy with all instances, answers after
-/// 0.3 s; the process that has just started knows nobody else to ask, takes
-/// the owner for lost and claims its work, and so on with the next one.
-BOOST_AUTO_TEST_CASE(a_busy_owner_is_not_replaced_by_one_that_just_started)
+/// Guards against a chain of ownership changes after one machine restarts in a
+/// cell of thousands of instances: a new owner answers only after 0.3 s, and
+/// the restarted process knows no others to ask, considers the owner lost and
+/// claims its work.
+BOOST_AUTO_TEST_CASE(busy_owner_is_not_replaced_by_a_new_process)
 {
     cell::owner_view const claim{2, "large", {"127.0.0.1", free_port()}, "it"};
     fill(1, claim);
@@ -142,8 +142,8 @@
     BOOST_TEST(log.appends == before);
 }
 
-/// Nothing answers at all: the work is claimed, within two seconds.
-BOOST_AUTO_TEST_CASE(a_silent_owner_is_replaced_by_one_that_knows_no_others)
+/// If nothing answers at all, the work is claimed within two seconds.
+BOOST_AUTO_TEST_CASE(silent_owner_is_replaced_by_a_process_without_peers)
 {
     cell::owner_view const claim{2, "large", {"127.0.0.1", free_port()}, "it"};
     fill(1, claim);
--- a/tests/cell/peer_list_test.cpp
+++ b/tests/cell/peer_list_test.cpp
@@ -22,7 +22,7 @@
             millicores};
 }
 
-/// The larger ones have the higher numbers.
+/// Processes with higher numbers have more processor time.
 std::vector<cell::peer> processes(int count)
 {
     std::vector<cell::peer> out;
@@ -49,7 +49,7 @@
 asker_case const askers[] = {
     {"the first standby", 299, 300},
     {"the second standby", 298, 300},
-    {"the first that does not stand by", 297, 64},
+    {"the first non-standby", 297, 64},
     {"the last", 0, 64},
 };
 
@@ -70,11 +70,11 @@
 
 BOOST_AUTO_TEST_SUITE(peer_list)
 
-/// Users of a cell of 300 processes get no answers: each process watches the
-/// owner four times a second, each answer names all processes, and 27 MB a
-/// second do not fit the owner's link. Those who stand by know all, the others
-/// the first of the succession.
-BOOST_DATA_TEST_CASE(who_stands_by_knows_all,
+/// Guards against an overloaded owner link in a cell of 300 processes: each
+/// process watches the owner four times a second, and answers that name all
+/// processes take 27 MB a second. Standbys know all processes, the others the
+/// first of the succession.
+BOOST_DATA_TEST_CASE(standbys_know_all_processes,
                      boost::unit_test::data::make(askers))
 {
     cell::peer_list it;
@@ -84,9 +84,9 @@
     BOOST_TEST(known.peers.front().instance == "p-299");
 }
 
-/// A list that has not changed is not sent again, whatever the order in which
-/// the processes came; one that has changed is.
-BOOST_AUTO_TEST_CASE(a_digest_tells_whether_the_list_has_changed)
+/// An unchanged list is not sent again, in whatever order the processes are
+/// set; a changed one is.
+BOOST_AUTO_TEST_CASE(digest_changes_with_the_list)
 {
     cell::peer_list it;
     auto const asker = process(0, 100);
@@ -103,16 +103,16 @@
     BOOST_TEST(it.known_to(asker).digest != first);
 }
 
-BOOST_DATA_TEST_CASE(watches_are_bounded_in_a_large_cell,
+BOOST_DATA_TEST_CASE(watch_interval_grows_with_the_cell,
                      boost::unit_test::data::make(waits))
 {
     BOOST_TEST((cell::watch_wait(sample.watchers) ==
                 std::chrono::milliseconds{sample.ms}));
 }
 
-/// A process of the version before names no digest, and one of this version
-/// may ask an owner that sends none.
-BOOST_AUTO_TEST_CASE(a_watch_is_read_from_both_versions)
+/// A process of the previous release sends no digest, and may be the owner that
+/// this release asks.
+BOOST_AUTO_TEST_CASE(watch_of_both_releases_is_parsed)
 {
     auto const old = base::capture(
         [&]
--- a/tests/cell/reliable_append_test.cpp
+++ b/tests/cell/reliable_append_test.cpp
@@ -23,7 +23,7 @@
 struct append_case
 {
     char const* name;
-    /// What others have written from our offset on.
+    /// Records of other writers from our offset on.
     record_list others;
     std::vector<fate> fates;
     std::uint64_t at;
@@ -57,7 +57,7 @@
      {},
      0,
      reliable_append_outcome::overtaken},
-    {"another batch that begins alike",
+    {"another batch with the same first record",
      {{"a", "1"}, {"b", "other"}},
      {},
      0,
@@ -98,8 +98,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(reliable_append, fixture)
 
-BOOST_DATA_TEST_CASE(what_became_of_an_append_is_certain,
-                     boost::unit_test::data::make(cases))
+BOOST_DATA_TEST_CASE(outcome_is_certain, boost::unit_test::data::make(cases))
 {
     log.put(sample.others);
     log.fates.assign(sample.fates.begin(), sample.fates.end());
@@ -110,12 +109,12 @@
     log.deliver_late();
     if (sample.end == reliable_append_outcome::stored)
     {
-        // Once, however often it was sent.
+        // Stored once, however often it was sent.
         BOOST_TEST((log.log == ours));
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_refused_append_can_be_taken_back)
+BOOST_AUTO_TEST_CASE(refused_append_can_be_taken_back)
 {
     log.fates.assign(1'000, fate::refuse);
     begin(0);
@@ -128,9 +127,10 @@
     BOOST_TEST(log.log.empty());
 }
 
-/// A user is told that a job does not run, and it runs: the store gave no
-/// answer to the first try and refused the next ones, and only these counted.
-BOOST_AUTO_TEST_CASE(an_append_that_may_be_stored_cannot_be_taken_back)
+/// Guards against a job that is reported as refused but runs: the store did not
+/// answer the first attempt and refused the next ones, and only these were
+/// counted.
+BOOST_AUTO_TEST_CASE(unanswered_append_cannot_be_taken_back)
 {
     log.fates.push_back(fate::delay);
     log.fates.insert(log.fates.end(), 1'000, fate::refuse);
@@ -144,10 +144,10 @@
     BOOST_TEST((*end == reliable_append_outcome::stored));
 }
 
-/// Users are refused for a second though the store works. It takes 240 ms for
-/// an append where 4 ms were usual; each try was given up before its answer
-/// came, and the tries queued up behind each other.
-BOOST_AUTO_TEST_CASE(a_slow_store_is_not_taken_for_a_silent_one)
+/// Guards against refused work while the store is merely slow: appends take 240
+/// ms instead of the usual 4 ms, each attempt was abandoned before its answer
+/// came, and the attempts queued up behind each other.
+BOOST_AUTO_TEST_CASE(slow_store_is_not_considered_silent)
 {
     log.fates.assign(1'000, fate::slow);
     auto const began = clock.now();
@@ -160,9 +160,10 @@
     BOOST_TEST((log.log == ours));
 }
 
-/// Users are refused for two seconds though the store is back. It was silent,
-/// and a new try was sent only when one of four that were lost had ended.
-BOOST_AUTO_TEST_CASE(a_store_that_was_silent_is_asked_soon_after_it_is_back)
+/// Guards against work that is refused for two seconds after a silent store has
+/// recovered, because a new attempt was sent only after one of four lost ones
+/// had timed out.
+BOOST_AUTO_TEST_CASE(recovered_store_is_tried_soon)
 {
     log.fates.assign(1'000, fate::silent);
     begin(0);
@@ -175,19 +176,19 @@
     BOOST_TEST(base::seconds_of(clock.now() - back) < 0.9);
 }
 
-/// A store whose connections are reset at once gets three hundred appends a
-/// second of one owner, and counts them all.
-BOOST_AUTO_TEST_CASE(a_store_that_resets_is_not_asked_all_the_time)
+/// Guards against one owner that sends three hundred appends a second, all
+/// counted by the store, while connections are reset at once.
+BOOST_AUTO_TEST_CASE(connection_resets_limit_the_rate)
 {
     log.fates.assign(1'000, fate::delay);
     begin(0);
     loop.run_for(std::chrono::milliseconds{300});
-    // After 10, 20, 40, 80 and then each 100 ms.
+    // Sent after 10, 20, 40 and 80 ms, and then every 100 ms.
     BOOST_TEST(log.appends <= 7);
     BOOST_TEST(log.appends >= 4);
 }
 
-BOOST_AUTO_TEST_CASE(a_claim_is_given_up_in_time)
+BOOST_AUTO_TEST_CASE(append_is_given_up_after_its_limit)
 {
     log.fates.assign(1'000, fate::refuse);
     begin(0, std::chrono::milliseconds{100});
--- a/tests/cell/reliable_read_test.cpp
+++ b/tests/cell/reliable_read_test.cpp
@@ -18,7 +18,7 @@
 
 constexpr milliseconds slack{50};
 
-/// 1,400 queues.
+/// The size of a configuration with 1,400 queues.
 constexpr std::size_t large = 380'000;
 
 struct fixture
@@ -51,7 +51,7 @@
     std::size_t bytes;
     std::size_t link_bytes_per_s;
     milliseconds delay;
-    /// Of the first read and of the second: questions at most.
+    /// Most requests of the first and of the second read.
     std::size_t first_questions;
     std::size_t second_questions;
 };
@@ -72,9 +72,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(reliable_read, fixture)
 
-/// A configuration never gets to a machine: a read that takes long is given up
-/// and repeated with the same patience, or is sent again beside itself.
-BOOST_DATA_TEST_CASE(what_takes_long_comes_in_the_end,
+/// Guards against a configuration that never arrives because a slow read is
+/// given up and repeated with the same timeout, or is sent again in parallel.
+BOOST_DATA_TEST_CASE(slow_read_succeeds,
                      boost::unit_test::data::make(slow_cases))
 {
     log.put({{"config", std::string(sample.bytes, 'x')}});
@@ -87,9 +87,9 @@
     BOOST_TEST(log.reads <= sample.second_questions);
 }
 
-/// A connection goes silent: the read waits for it as long as for a store that
-/// is away.
-BOOST_AUTO_TEST_CASE(a_silent_connection_costs_one_pause)
+/// Guards against a read that waits for a silent connection as long as for an
+/// unavailable store.
+BOOST_AUTO_TEST_CASE(silent_connection_costs_one_pause)
 {
     log.put({{"config", "x"}});
     log.silent_reads = 1;
@@ -99,16 +99,16 @@
     BOOST_TEST(log.reads == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_store_that_never_answers_is_given_up)
+BOOST_AUTO_TEST_CASE(read_of_a_silent_store_is_given_up)
 {
     log.read_delay = std::chrono::seconds{60};
     BOOST_TEST((read().result.outcome == cell::read_end::unanswered));
     BOOST_TEST(log.reads == 4U);
 }
 
-/// A version is taken for the newest though a newer one was accepted while the
-/// answer was on its way.
-BOOST_AUTO_TEST_CASE(an_answer_holds_for_the_time_of_its_question)
+/// Guards against a version that is considered the newest although a newer one
+/// was accepted while the answer was in transit.
+BOOST_AUTO_TEST_CASE(answer_is_valid_as_of_its_request)
 {
     log.put({{"config", "x"}});
     log.read_delay = milliseconds{30};
--- a/tests/cell/round_pace_test.cpp
+++ b/tests/cell/round_pace_test.cpp
@@ -16,7 +16,7 @@
 {
     char const* story;
     milliseconds takes;
-    /// After the beginning of the round.
+    /// Time from the start of the round to the next one.
     milliseconds next;
 };
 
@@ -26,22 +26,24 @@
 }
 
 pace_case const paces[] = {
-    {"short rounds begin at a steady pace", milliseconds{0}, milliseconds{3}},
-    {"a round of a millisecond leaves two to others", milliseconds{1},
+    {"short rounds start at the minimum interval", milliseconds{0},
      milliseconds{3}},
-    {"a long one leaves twice its time", milliseconds{8}, milliseconds{24}},
-    {"a pause of the process is no reason to wait", milliseconds{2'000},
-     milliseconds{2'040}},
+    {"a round of one millisecond leaves two for others", milliseconds{1},
+     milliseconds{3}},
+    {"a long round leaves twice its duration", milliseconds{8},
+     milliseconds{24}},
+    {"the pause after a suspension of the process is limited",
+     milliseconds{2'000}, milliseconds{2'040}},
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(round_pace)
 
-/// Users who ask for the state of their jobs get no answer in time, while the
-/// owner places other work: each round of decisions begins as soon as the one
-/// before has ended, and what came in waits behind both.
-BOOST_DATA_TEST_CASE(rounds_leave_the_loop_to_others,
+/// Guards against job status calls that time out while the owner places other
+/// work: each round started as soon as the one before had ended, and calls
+/// waited behind both.
+BOOST_DATA_TEST_CASE(rounds_leave_time_for_others,
                      boost::unit_test::data::make(paces))
 {
     base::instant const began{std::chrono::seconds{10}};
--- a/tests/cell/yield_rule_test.cpp
+++ b/tests/cell/yield_rule_test.cpp
@@ -34,7 +34,7 @@
 }
 
 std::vector<yield_case> const cases{
-    {"alone, it goes on however late it is",
+    {"without other processes it continues however late it is",
      {120, seconds{9}, seconds{2}, {}},
      yield_reason::none},
     {"an instance with four times the processor takes over",
@@ -43,13 +43,13 @@
     {"a little more processor is not worth a change",
      {400, seconds{9}, milliseconds{1}, {peer_with(500)}},
      yield_reason::none},
-    {"one that has just begun goes on",
+    {"an owner that has just taken over continues",
      {120, seconds{1}, seconds{2}, {peer_with(500)}},
      yield_reason::none},
-    {"one that cannot keep up hands on to an equal",
+    {"an overloaded owner yields to an equal instance",
      {250, seconds{9}, milliseconds{400}, {peer_with(250)}},
      yield_reason::overloaded},
-    {"a smaller one would keep up still less",
+    {"an overloaded owner does not yield to a smaller instance",
      {500, seconds{9}, milliseconds{400}, {peer_with(120)}},
      yield_reason::none},
     {"pauses of a tenth of a second are no overload",
@@ -81,17 +81,17 @@
 
 BOOST_AUTO_TEST_SUITE(yield_rule)
 
-/// Users of a cell whose machines are unlike wait for seconds. Its owner runs
-/// on a small one, answers late, is taken for lost, and the next small one
-/// takes over.
-BOOST_DATA_TEST_CASE(an_owner_hands_on_what_it_cannot_carry,
+/// Guards against a cell that waits for seconds because its owner runs on a
+/// small machine, answers late and is considered lost, and the next small
+/// machine takes over.
+BOOST_DATA_TEST_CASE(owner_yields_when_overloaded_or_smaller,
                      boost::unit_test::data::make(cases),
                      it)
 {
     BOOST_TEST((should_yield(it.load) == it.expected));
 }
 
-BOOST_DATA_TEST_CASE(those_with_more_processor_time_come_first,
+BOOST_DATA_TEST_CASE(more_processor_time_comes_first,
                      boost::unit_test::data::make(orders),
                      it)
 {
