--- a/libraries/cell/call_router.cpp
+++ b/libraries/cell/call_router.cpp
@@ -11,23 +11,25 @@
 namespace
 {
 
-/// A client is answered this much before its time is over.
+/// A client is answered this long before its timeout.
 constexpr base::duration answer_margin = std::chrono::milliseconds{150};
 
-/// A change of owner takes about a second; a client of which no owner has
-/// heard is not kept longer, and is told when to come back.
+/// A change of owner takes about a second. A call that has reached no owner by
+/// then is refused with a time to retry after.
 constexpr base::duration longest_search = std::chrono::milliseconds{1'500};
-/// Between two looks for an owner.
+/// Pause before the next attempt to reach an owner.
 constexpr base::duration retry_pause = std::chrono::milliseconds{40};
 
-/// Between two looks whether the owner that was asked still owns.
+/// How often the router checks that the called owner still owns the work.
 constexpr base::duration owner_look = std::chrono::milliseconds{50};
 
 } // namespace
 
-struct call_router::trip
+struct call_router::pending_call
 {
-    trip(boost::asio::io_context& loop, job_call it, job_answer_handler then)
+    pending_call(boost::asio::io_context& loop,
+                 job_call it,
+                 job_answer_handler then)
         : call{std::move(it)}
         , done{std::move(then)}
         , timer{loop}
@@ -37,15 +39,15 @@
     job_call call;
     job_answer_handler done;
     boost::asio::steady_timer timer;
-    /// Until an owner is searched for that no owner has heard of it.
+    /// Until when an owner is searched for, if none has received the call.
     base::instant search_until{};
-    /// Until the client is answered.
+    /// When the client must be answered.
     base::instant answer_by{};
-    /// An owner may have acted on it.
+    /// An owner may have acted on the call.
     bool maybe_done{false};
-    /// Counts the questions to owners: answers to those given up are late.
+    /// Number of the current attempt; answers to earlier attempts are late.
     std::uint32_t asked{0};
-    /// The token of the owner asked last.
+    /// Token of the owner that was called last.
     std::uint64_t asked_token{0};
 };
 
@@ -76,21 +78,21 @@
         }
     }
     auto const made =
-        std::make_shared<trip>(m_loop, std::move(it), std::move(done));
+        std::make_shared<pending_call>(m_loop, std::move(it), std::move(done));
     auto const now = m_clock.now();
     made->answer_by = now + made->call.timeout - answer_margin;
     made->search_until = std::min(now + longest_search, made->answer_by);
     ++m_under_way;
-    go(made);
+    send_to_owner(made);
 }
 
-void call_router::go(trip_pointer const& it)
+void call_router::send_to_owner(pending_call_pointer const& it)
 {
     auto const left = it->answer_by - m_clock.now();
     it->call.timeout = left;
     if (left.count() > 0 &&
-        m_local(it->call,
-                [this, it](job_answer const& answer) { given(it, answer); }))
+        m_local(it->call, [this, it](job_answer const& answer)
+                { owner_answered(it, answer); }))
     {
         return;
     }
@@ -104,14 +106,15 @@
     ++it->asked;
     m_peers.call(m_owner.owner().address, it->call, left,
                  [this, it, n = it->asked](peer_result<job_answer> const& end)
-                 { returned(it, n, end); });
+                 { peer_call_ended(it, n, end); });
     watch_owner(it, it->asked);
 }
 
-/// A store that is slow keeps an owner from answering for a second and more. An
-/// owner that is lost does not answer at all: the others find that out sooner
-/// than any client's time is over.
-void call_router::watch_owner(trip_pointer const& it, std::uint32_t asked)
+/// A slow store can delay an owner's answer for more than a second, while a
+/// lost owner never answers. The other processes detect a lost owner before any
+/// client's timeout expires.
+void call_router::watch_owner(pending_call_pointer const& it,
+                              std::uint32_t asked)
 {
     it->timer.expires_after(owner_look);
     it->timer.async_wait(
@@ -133,9 +136,9 @@
         });
 }
 
-void call_router::returned(trip_pointer const& it,
-                           std::uint32_t asked,
-                           peer_result<job_answer> const& end)
+void call_router::peer_call_ended(pending_call_pointer const& it,
+                                  std::uint32_t asked,
+                                  peer_result<job_answer> const& end)
 {
     if (!it->done)
     {
@@ -143,7 +146,8 @@
     }
     if (it->asked != asked)
     {
-        // That owner was given up; what it accepted stands all the same.
+        // The attempt was abandoned, but a job that its owner accepted is
+        // stored.
         if (end.answer && end.answer->kind == job_answer_kind::accepted)
         {
             finish(it, *end.answer);
@@ -159,12 +163,13 @@
         retry(it);
         return;
     }
-    given(it, *end.answer);
+    owner_answered(it, *end.answer);
 }
 
-/// An owner that loses or gives up its right sends its callers on to the next
-/// one.
-void call_router::given(trip_pointer const& it, job_answer const& answer)
+/// Handles the answer of an owner. If the owner has lost or released ownership,
+/// the call goes to the next owner.
+void call_router::owner_answered(pending_call_pointer const& it,
+                                 job_answer const& answer)
 {
     if (answer.kind == job_answer_kind::not_owner ||
         answer.kind == job_answer_kind::interrupted)
@@ -177,7 +182,7 @@
     finish(it, answer);
 }
 
-void call_router::retry(trip_pointer const& it)
+void call_router::retry(pending_call_pointer const& it)
 {
     auto const until = it->maybe_done ? it->answer_by : it->search_until;
     if (m_clock.now() + retry_pause < until)
@@ -188,20 +193,21 @@
             {
                 if (it->done)
                 {
-                    go(it);
+                    send_to_owner(it);
                 }
             });
         return;
     }
     auto const changes = it->call.kind == job_call_kind::submit ||
                          it->call.kind == job_call_kind::cancel;
-    finish(it,
-           it->maybe_done && changes
-               ? job_answer{job_answer_kind::outcome_unknown, {}, 0, {}}
-               : job_answer{job_answer_kind::refused, {}, 0, come_back_after});
+    finish(it, it->maybe_done && changes
+                   ? job_answer{job_answer_kind::outcome_unknown, {}, 0, {}}
+                   : job_answer{
+                         job_answer_kind::refused, {}, 0, default_retry_after});
 }
 
-void call_router::finish(trip_pointer const& it, job_answer const& answer)
+void call_router::finish(pending_call_pointer const& it,
+                         job_answer const& answer)
 {
     if (!it->done)
     {
@@ -210,7 +216,7 @@
     auto given = answer;
     if (given.kind == job_answer_kind::refused && it->maybe_done)
     {
-        // A former owner may have stored it.
+        // A former owner may have stored the change.
         given.kind = job_answer_kind::outcome_unknown;
     }
     --m_under_way;
--- a/libraries/cell/call_router.hpp
+++ b/libraries/cell/call_router.hpp
@@ -15,13 +15,14 @@
 namespace berylhill::cell
 {
 
-/// Brings each call of a client to the owner, wherever that is, and goes on
-/// to the next owner when one is lost meanwhile: the calls may arrive twice.
-/// Lives on the event loop.
+/// Forwards each client call to the owner, in this process or another, and
+/// retries with the next owner if ownership changes meanwhile. A call may
+/// therefore arrive twice. Lives on the event loop.
 class call_router
 {
 public:
-    /// The owner of this process; null while it does not own.
+    /// Calls the owner in this process; returns false if this process does not
+    /// own the work.
     using local_function =
         std::function<bool(job_call const&, job_answer_handler const&)>;
 
@@ -31,27 +32,28 @@
                 ownership const& owner,
                 local_function local);
 
-    /// `done` is called once, before the client's patience is over.
+    /// `done` is called once, before the call's timeout expires.
     void call(job_call it, job_answer_handler done);
 
-    /// Calls that wait for an owner or its answer.
+    /// The number of calls that wait for an owner or for its answer.
     [[nodiscard]] std::size_t under_way() const noexcept
     {
         return m_under_way;
     }
 
 private:
-    struct trip;
-    using trip_pointer = std::shared_ptr<trip>;
+    struct pending_call;
+    using pending_call_pointer = std::shared_ptr<pending_call>;
 
-    void go(trip_pointer const& it);
-    void watch_owner(trip_pointer const& it, std::uint32_t asked);
-    void returned(trip_pointer const& it,
-                  std::uint32_t asked,
-                  peer_result<job_answer> const& end);
-    void given(trip_pointer const& it, job_answer const& answer);
-    void retry(trip_pointer const& it);
-    void finish(trip_pointer const& it, job_answer const& answer);
+    void send_to_owner(pending_call_pointer const& it);
+    void watch_owner(pending_call_pointer const& it, std::uint32_t asked);
+    void peer_call_ended(pending_call_pointer const& it,
+                         std::uint32_t asked,
+                         peer_result<job_answer> const& end);
+    void owner_answered(pending_call_pointer const& it,
+                        job_answer const& answer);
+    void retry(pending_call_pointer const& it);
+    void finish(pending_call_pointer const& it, job_answer const& answer);
 
     boost::asio::io_context& m_loop;
     base::clock const& m_clock;
--- a/libraries/cell/cell_owner_batch.cpp
+++ b/libraries/cell/cell_owner_batch.cpp
@@ -9,20 +9,21 @@
 namespace
 {
 
-/// Between two tries to store while the store refuses: it counts and prices
-/// the calls that it refuses.
+/// Pause between appends while the store refuses them: it counts and bills
+/// refused calls.
 constexpr base::duration append_pause = std::chrono::milliseconds{200};
 
-/// How long a batch may gather. An answer to a short question for advice
-/// takes about as long, so most jobs come with their first starts in it.
+/// How long a batch collects records before it is sent. An answer to a short
+/// advice request takes about as long, so most jobs are stored together with
+/// their first starts.
 constexpr base::duration batch_linger = std::chrono::milliseconds{30};
 
-/// With starts in it, or something else that somebody waits for. The most
-/// urgent work has half a second to start.
+/// The same for a batch that contains starts or other records that somebody
+/// waits for. The most urgent work must start within half a second.
 constexpr base::duration urgent_linger = std::chrono::milliseconds{10};
 
-/// A client whose submission may be stored hears that the outcome is not known
-/// so long before its time is over: it has no use for that any sooner.
+/// A client whose submission may be stored is told that the outcome is unknown
+/// this long before its deadline; an earlier answer would not help it.
 constexpr base::duration answer_margin = std::chrono::milliseconds{100};
 
 } // namespace
@@ -33,11 +34,11 @@
     auto const submitted =
         of.kind == job_call_kind::submit ? of.job : workload::job_id{};
     m_waiting.add({std::move(done), submitted, until});
-    soon();
+    schedule_round();
 }
 
-/// While the store takes nothing, those whose submission has not been sent to
-/// it are told at once that it does not run.
+/// Refuses the clients whose submission has not been sent while the store is
+/// blocked.
 void cell_owner::refuse_unsent()
 {
     auto const refused = m_waiting.refuse_unsent(
@@ -45,7 +46,7 @@
     for (auto const& it : refused)
     {
         log_refusal(it.submitted);
-        it.done({job_answer_kind::refused, {}, 0, come_back_after});
+        it.done({job_answer_kind::refused, {}, 0, default_retry_after});
     }
 }
 
@@ -58,22 +59,22 @@
                         {"token", m_token}});
 }
 
-/// A store that refuses has surely not stored the batch: what is in it goes
-/// back, so that its clients can be told.
-void cell_owner::give_up_batch()
+/// Takes back a batch that the store has refused, so that its clients can be
+/// answered.
+void cell_owner::take_back_batch()
 {
     if (!m_append.take_back())
     {
         return;
     }
-    m_given_up = true;
+    m_batch_taken_back = true;
     m_decisions.batch_not_stored();
-    m_waiting.batch_returned();
+    m_waiting.batch_not_stored();
     m_next_append = m_parts.clock->now() + append_pause;
 }
 
-/// A batch without anything that somebody waits for gathers for a moment: a
-/// new job then comes with its first starts, and several ends come together.
+/// Returns whether the open batch waits for more records, so that a new job is
+/// stored with its first starts and several ended attempts are stored together.
 bool cell_owner::lingers(base::instant now) const
 {
     auto const limit =
@@ -107,8 +108,8 @@
     }
     else
     {
-        // A client may wait for a batch that is already stored.
-        tell_accepted(m_waiting.nothing_to_store());
+        // A client may wait for records that are already stored.
+        answer_accepted(m_waiting.nothing_to_store());
         return;
     }
     m_waiting.batch_sent();
@@ -120,15 +121,16 @@
         return;
     }
     auto const n = records.size();
-    m_wanting_since = m_wanting_since.value_or(now);
+    m_store_blocked_since = m_store_blocked_since.value_or(now);
     m_append.begin(m_next, std::move(records), base::duration{0},
-                   [this, n](sure_end end)
+                   [this, n](reliable_append_outcome end)
                    {
-                       if (end != sure_end::stored)
+                       if (end != reliable_append_outcome::stored)
                        {
-                           deposed(end == sure_end::overtaken
-                                       ? "log_overtaken"
-                                       : "log_history_lost");
+                           ownership_lost(
+                               end == reliable_append_outcome::overtaken
+                                   ? "log_overtaken"
+                                   : "log_history_lost");
                            return;
                        }
                        m_next += n;
@@ -140,14 +142,14 @@
 void cell_owner::stored()
 {
     m_batches_stored = m_batches_taken;
-    m_wanting_since.reset();
-    m_given_up = false;
-    tell_accepted(m_waiting.batch_stored());
-    carry_out(m_decisions.take_orders());
-    soon();
+    m_store_blocked_since.reset();
+    m_batch_taken_back = false;
+    answer_accepted(m_waiting.batch_stored());
+    send_orders(m_decisions.take_orders());
+    schedule_round();
 }
 
-void cell_owner::tell_accepted(batch_waiters::list const& whom)
+void cell_owner::answer_accepted(batch_waiters::list const& whom)
 {
     for (auto const& it : whom)
     {
@@ -155,8 +157,7 @@
     }
 }
 
-/// A client whose time is nearly over hears that the outcome is not known,
-/// and asks again.
+/// Answers clients whose deadline is near with an unknown outcome; they retry.
 void cell_owner::expire_waiting()
 {
     for (auto const& it : m_waiting.expire(m_parts.clock->now()))
--- a/libraries/cell/node.hpp
+++ b/libraries/cell/node.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <cell/adapter.hpp>
-#include <cell/advice_desk.hpp>
+#include <cell/advice_dispatcher.hpp>
 #include <cell/byte_budget.hpp>
 #include <cell/call_router.hpp>
 #include <cell/cell_owner.hpp>
@@ -23,11 +23,11 @@
 namespace berylhill::cell
 {
 
-/// Until a right that is given up has to be free: an append under way.
+/// Time limit for releasing ownership: enough for an append in flight.
 inline constexpr base::duration release_limit = std::chrono::milliseconds{500};
 
-/// One process of a cell: takes the calls of clients, watches the owner, and
-/// owns the work when its turn comes. One thread does it all.
+/// A process of a cell: accepts client calls, watches the owner, and owns the
+/// work when it succeeds. Single-threaded.
 class node final : public ownership::listener, public peer_service::backend
 {
 public:
@@ -36,8 +36,8 @@
          adapter_maker const& make);
     ~node() override;
 
-    /// Runs until SIGTERM has been followed to its end. Fails with
-    /// `unavailable` where an address cannot be bound.
+    /// Runs until the shutdown that SIGTERM starts has finished. Fails with
+    /// `unavailable` if an address cannot be bound.
     [[nodiscard]] base::result<void> run();
 
     // ownership::listener
@@ -56,7 +56,8 @@
     void heard_of(std::int64_t version,
                   network::socket_address const& from) override;
     [[nodiscard]] configuration_record configuration() const override;
-    [[nodiscard]] std::optional<std::string> packed_configuration() override;
+    [[nodiscard]] std::optional<std::string>
+    compressed_configuration() override;
     [[nodiscard]] bool owns() const override;
     void call_owner(job_call const& it, job_answer_handler done) override;
     void advise(advice_question const& it, advice_handler done) override;
@@ -110,7 +111,7 @@
     peer_client m_peers;
     ownership m_ownership;
     peer_service m_peer_service;
-    advice_desk m_advice;
+    advice_dispatcher m_advice;
     call_router m_router;
     log_follower m_operators;
     network::http_server m_callers;
@@ -124,17 +125,18 @@
     loop_lag m_lag;
     node_metrics m_metrics;
     workload::cell_configuration m_configuration;
-    /// As it was read, for processes that the store turns away.
+    /// The record of the configuration, for processes that cannot read the
+    /// store.
     configuration_record m_configuration_record;
-    /// The same, packed; empty until it is asked for.
-    std::string m_packed_configuration;
-    byte_budget m_copies;
-    configuration_spread m_spread;
+    /// The record, compressed; empty until it is requested.
+    std::string m_compressed_configuration;
+    byte_budget m_copy_budget;
+    configuration_spread m_propagation;
     std::unique_ptr<cell_owner> m_owner;
     base::instant m_owns_since{};
     base::instant m_stop_at{};
     bool m_stopping{false};
-    /// The right is being handed to another process.
+    /// Ownership is being handed to another process.
     bool m_yielding{false};
     bool m_was_ready{false};
 };
--- a/libraries/cell/peer_service.cpp
+++ b/libraries/cell/peer_service.cpp
@@ -18,17 +18,17 @@
 constexpr unsigned status_conflict = 409;
 constexpr unsigned status_busy = 429;
 
-/// A process that has not asked for so long is not counted among those that
-/// live: some of its watches.
+/// A process that has not asked for this long, the time of several watches, is
+/// not considered live.
 constexpr base::duration watcher_kept = std::chrono::milliseconds{1'200};
 
-/// Between two looks at who watches.
+/// How often the list of watchers is updated.
 constexpr base::duration list_pause = std::chrono::milliseconds{250};
 
-/// Between two looks at open watches.
+/// How often open watches are checked for expiry.
 constexpr base::duration tick = std::chrono::milliseconds{25};
 
-/// No watch is kept open longer, whatever is asked.
+/// Upper limit of the time that a watch is kept open.
 constexpr base::duration longest_watch = std::chrono::seconds{2};
 
 base::duration wait_in(std::string_view target)
@@ -64,7 +64,7 @@
                            backend& behind)
     : m_loop{loop}
     , m_clock{clock}
-    , m_behind{behind}
+    , m_backend{behind}
     , m_timer{loop}
 {
     every_tick();
@@ -120,10 +120,10 @@
     }
     auto const now = m_clock.now();
     m_seen[from.value().from] = now;
-    m_behind.heard_of(from.value().configuration.version,
-                      from.value().from.address);
+    m_backend.heard_of(from.value().configuration.version,
+                       from.value().from.address);
     auto const wait = wait_in(it.target);
-    if (wait.count() == 0 || !m_behind.owns())
+    if (wait.count() == 0 || !m_backend.owns())
     {
         answer(watch_response(from.value()));
         return;
@@ -131,24 +131,25 @@
     m_watches.push_back({std::move(answer), now + wait, from.value()});
 }
 
-/// A process of a version that can't unpack gets the text as it is.
+/// Sends the configuration, uncompressed to a process that runs a release
+/// without compression.
 void peer_service::configuration(network::http_request const& it,
                                  network::responder const& answer)
 {
     if (network::field_of(it.fields, peer_paths::accept_encoding) !=
-        peer_paths::packed_encoding)
+        peer_paths::compressed_encoding)
     {
-        answer({status_ok, {}, text_of(m_behind.configuration())});
+        answer({status_ok, {}, text_of(m_backend.configuration())});
         return;
     }
-    auto copy = m_behind.packed_configuration();
+    auto copy = m_backend.compressed_configuration();
     if (!copy)
     {
         answer({status_busy, {}, {}});
         return;
     }
     answer({status_ok,
-            {{peer_paths::content_encoding, peer_paths::packed_encoding}},
+            {{peer_paths::content_encoding, peer_paths::compressed_encoding}},
             std::move(*copy),
             "application/octet-stream"});
 }
@@ -156,7 +157,7 @@
 void peer_service::job(network::http_request const& it,
                        network::responder answer)
 {
-    if (!m_behind.owns())
+    if (!m_backend.owns())
     {
         answer({status_conflict, {}, {}});
         return;
@@ -167,10 +168,10 @@
         refuse(answer, call.error());
         return;
     }
-    m_behind.call_owner(call.value(),
-                        [answer = std::move(answer)](job_answer const& end) {
-                            answer({status_ok, {}, text_of(end)});
-                        });
+    m_backend.call_owner(call.value(),
+                         [answer = std::move(answer)](job_answer const& end) {
+                             answer({status_ok, {}, text_of(end)});
+                         });
 }
 
 void peer_service::advise(network::http_request const& it,
@@ -183,10 +184,10 @@
         refuse(answer, question.error());
         return;
     }
-    m_behind.advise(question.value(),
-                    [answer = std::move(answer)](advice_result const& end) {
-                        answer({status_ok, {}, text_of(end)});
-                    });
+    m_backend.advise(question.value(),
+                     [answer = std::move(answer)](advice_result const& end) {
+                         answer({status_ok, {}, text_of(end)});
+                     });
 }
 
 void peer_service::owner(network::http_request const& it,
@@ -199,15 +200,15 @@
         return;
     }
     answer({status_ok, {}, "{}"});
-    m_behind.heard_of(read.value());
+    m_backend.heard_of(read.value());
 }
 
 network::http_response peer_service::watch_response(watch_question const& to)
 {
-    auto out = m_behind.view();
-    if (m_behind.owns())
+    auto out = m_backend.view();
+    if (m_backend.owns())
     {
-        look_who_watches();
+        refresh_watchers();
         out.watchers = m_list.size();
         auto const& named = m_list.known_to(to.from);
         out.peers.digest = named.digest;
@@ -219,7 +220,7 @@
     return {status_ok, {}, text_of(out)};
 }
 
-void peer_service::look_who_watches()
+void peer_service::refresh_watchers()
 {
     auto const now = m_clock.now();
     if (now >= m_next_list)
@@ -229,8 +230,9 @@
     }
 }
 
-/// After which a process that has not asked is not counted.
-base::duration peer_service::kept() const
+/// Returns the time after which a process that has not asked is not considered
+/// live.
+base::duration peer_service::watcher_lifetime() const
 {
     return watcher_kept + watch_wait(m_seen.size()) - watch_wait(0);
 }
@@ -247,7 +249,7 @@
 std::vector<peer> peer_service::watchers() const
 {
     auto const now = m_clock.now();
-    auto const longest = kept();
+    auto const longest = watcher_lifetime();
     std::vector<peer> out;
     for (auto const& [it, seen] : m_seen)
     {
--- a/libraries/cell/peer_service.hpp
+++ b/libraries/cell/peer_service.hpp
@@ -20,11 +20,12 @@
 namespace berylhill::cell
 {
 
-/// Answers the other processes of the cell. Lives on the event loop.
+/// Serves the calls of the other processes of the cell. Lives on the event
+/// loop.
 class peer_service
 {
 public:
-    /// What it asks the rest of the process.
+    /// The parts of the process that the service uses.
     class backend
     {
     public:
@@ -35,14 +36,14 @@
 
         [[nodiscard]] virtual watch_answer view() const = 0;
         virtual void heard_of(owner_view const& it) = 0;
-        /// The process at this address has this version of the configuration.
+        /// The process at `from` reported this version of the configuration.
         virtual void heard_of(std::int64_t version,
                               network::socket_address const& from) = 0;
         [[nodiscard]] virtual configuration_record configuration() const = 0;
-        /// The same as a packed text; nothing while other copies take what the
-        /// link may carry of them.
+        /// The configuration, compressed; nothing while other copies use up the
+        /// bandwidth reserved for them.
         [[nodiscard]] virtual std::optional<std::string>
-        packed_configuration() = 0;
+        compressed_configuration() = 0;
         [[nodiscard]] virtual bool owns() const = 0;
         /// Precondition: `owns()`.
         virtual void call_owner(job_call const& it,
@@ -59,7 +60,7 @@
 
     void handle(network::http_request const& it, network::responder answer);
 
-    /// Answers all open watches now: something has changed.
+    /// Answers all open watches now, because something has changed.
     void wake();
 
     /// The processes that watch this one now.
@@ -81,13 +82,13 @@
     void owner(network::http_request const& it, network::responder answer);
     [[nodiscard]] network::http_response
     watch_response(watch_question const& to);
-    void look_who_watches();
-    [[nodiscard]] base::duration kept() const;
+    void refresh_watchers();
+    [[nodiscard]] base::duration watcher_lifetime() const;
     void every_tick();
 
     boost::asio::io_context& m_loop;
     base::clock const& m_clock;
-    backend& m_behind;
+    backend& m_backend;
     boost::asio::steady_timer m_timer;
     std::list<open_watch> m_watches;
     std::map<peer, base::instant> m_seen;
--- a/tests/cell/sure_append_test.cpp
+++ b/tests/cell/reliable_append_test.cpp
@@ -1,6 +1,6 @@
 #include "fake_log.hpp"
 
-#include <cell/sure_append.hpp>
+#include <cell/reliable_append.hpp>
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -11,7 +11,7 @@
 
 using namespace berylhill;
 using namespace berylhill::cell_test;
-using cell::sure_end;
+using cell::reliable_append_outcome;
 
 namespace
 {
@@ -23,11 +23,11 @@
 struct append_case
 {
     char const* name;
-    /// What others have written from our offset on.
+    /// Records of other writers from our offset on.
     record_list others;
     std::vector<fate> fates;
     std::uint64_t at;
-    sure_end end;
+    reliable_append_outcome end;
 };
 
 std::ostream& operator<<(std::ostream& to, append_case const& it)
@@ -36,25 +36,37 @@
 }
 
 append_case const cases[] = {
-    {"stored at once", {}, {}, 0, sure_end::stored},
+    {"stored at once", {}, {}, 0, reliable_append_outcome::stored},
     {"stored without an answer",
      {},
      {fate::store_silently},
      0,
-     sure_end::stored},
+     reliable_append_outcome::stored},
     {"refused, then stored",
      {},
      {fate::refuse, fate::refuse},
      0,
-     sure_end::stored},
-    {"lost, then stored", {}, {fate::delay}, 0, sure_end::stored},
-    {"another writer was first", {{"owner", "x"}}, {}, 0, sure_end::overtaken},
-    {"another batch that begins alike",
+     reliable_append_outcome::stored},
+    {"lost, then stored",
+     {},
+     {fate::delay},
+     0,
+     reliable_append_outcome::stored},
+    {"another writer was first",
+     {{"owner", "x"}},
+     {},
+     0,
+     reliable_append_outcome::overtaken},
+    {"another batch with the same first record",
      {{"a", "1"}, {"b", "other"}},
      {},
      0,
-     sure_end::overtaken},
-    {"the log ends before our offset", {}, {}, 7, sure_end::overtaken},
+     reliable_append_outcome::overtaken},
+    {"the log ends before our offset",
+     {},
+     {},
+     7,
+     reliable_append_outcome::overtaken},
 };
 
 struct fixture
@@ -63,12 +75,13 @@
     base::system_clock clock;
     fake_log log{loop};
     cell::store_latency latency;
-    cell::sure_append append{loop, clock, log, latency};
-    std::optional<sure_end> end;
+    cell::reliable_append append{loop, clock, log, latency};
+    std::optional<reliable_append_outcome> end;
 
     void begin(std::uint64_t at, base::duration limit = {})
     {
-        append.begin(at, ours, limit, [this](sure_end it) { end = it; });
+        append.begin(at, ours, limit,
+                     [this](reliable_append_outcome it) { end = it; });
     }
 
     void run()
@@ -83,10 +96,9 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(sure_append, fixture)
+BOOST_FIXTURE_TEST_SUITE(reliable_append, fixture)
 
-BOOST_DATA_TEST_CASE(what_became_of_an_append_is_certain,
-                     boost::unit_test::data::make(cases))
+BOOST_DATA_TEST_CASE(outcome_is_certain, boost::unit_test::data::make(cases))
 {
     log.put(sample.others);
     log.fates.assign(sample.fates.begin(), sample.fates.end());
@@ -95,14 +107,14 @@
     BOOST_REQUIRE(end.has_value());
     BOOST_TEST((*end == sample.end));
     log.deliver_late();
-    if (sample.end == sure_end::stored)
+    if (sample.end == reliable_append_outcome::stored)
     {
-        // Once, however often it was sent.
+        // Stored once, however often it was sent.
         BOOST_TEST((log.log == ours));
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_refused_append_can_be_taken_back)
+BOOST_AUTO_TEST_CASE(refused_append_can_be_taken_back)
 {
     log.fates.assign(1'000, fate::refuse);
     begin(0);
@@ -115,9 +127,10 @@
     BOOST_TEST(log.log.empty());
 }
 
-/// A user is told that a job does not run, and it runs: the store gave no
-/// answer to the first try and refused the next ones, and only these counted.
-BOOST_AUTO_TEST_CASE(an_append_that_may_be_stored_cannot_be_taken_back)
+/// Guards against a job that is reported as refused but runs: the store did not
+/// answer the first attempt and refused the next ones, and only these were
+/// counted.
+BOOST_AUTO_TEST_CASE(unanswered_append_cannot_be_taken_back)
 {
     log.fates.push_back(fate::delay);
     log.fates.insert(log.fates.end(), 1'000, fate::refuse);
@@ -128,28 +141,29 @@
     log.fates.clear();
     run();
     BOOST_REQUIRE(end.has_value());
-    BOOST_TEST((*end == sure_end::stored));
+    BOOST_TEST((*end == reliable_append_outcome::stored));
 }
 
-/// Users are refused for a second though the store works. It takes 240 ms for
-/// an append where 4 ms were usual; each try was given up before its answer
-/// came, and the tries queued up behind each other.
-BOOST_AUTO_TEST_CASE(a_slow_store_is_not_taken_for_a_silent_one)
+/// Guards against refused work while the store is merely slow: appends take 240
+/// ms instead of the usual 4 ms, each attempt was abandoned before its answer
+/// came, and the attempts queued up behind each other.
+BOOST_AUTO_TEST_CASE(slow_store_is_not_considered_silent)
 {
     log.fates.assign(1'000, fate::slow);
     auto const began = clock.now();
     begin(0);
     run();
     BOOST_REQUIRE(end.has_value());
-    BOOST_TEST((*end == sure_end::stored));
+    BOOST_TEST((*end == reliable_append_outcome::stored));
     BOOST_TEST(base::seconds_of(clock.now() - began) < 0.4);
     BOOST_TEST(log.appends <= 2);
     BOOST_TEST((log.log == ours));
 }
 
-/// Users are refused for two seconds though the store is back. It was silent,
-/// and a new try was sent only when one of four that were lost had ended.
-BOOST_AUTO_TEST_CASE(a_store_that_was_silent_is_asked_soon_after_it_is_back)
+/// Guards against work that is refused for two seconds after a silent store has
+/// recovered, because a new attempt was sent only after one of four lost ones
+/// had timed out.
+BOOST_AUTO_TEST_CASE(recovered_store_is_tried_soon)
 {
     log.fates.assign(1'000, fate::silent);
     begin(0);
@@ -158,29 +172,29 @@
     auto const back = clock.now();
     run();
     BOOST_REQUIRE(end.has_value());
-    BOOST_TEST((*end == sure_end::stored));
+    BOOST_TEST((*end == reliable_append_outcome::stored));
     BOOST_TEST(base::seconds_of(clock.now() - back) < 0.9);
 }
 
-/// A store whose connections are reset at once gets three hundred appends a
-/// second of one owner, and counts them all.
-BOOST_AUTO_TEST_CASE(a_store_that_resets_is_not_asked_all_the_time)
+/// Guards against one owner that sends three hundred appends a second, all
+/// counted by the store, while connections are reset at once.
+BOOST_AUTO_TEST_CASE(connection_resets_limit_the_rate)
 {
     log.fates.assign(1'000, fate::delay);
     begin(0);
     loop.run_for(std::chrono::milliseconds{300});
-    // After 10, 20, 40, 80 and then each 100 ms.
+    // Sent after 10, 20, 40 and 80 ms, and then every 100 ms.
     BOOST_TEST(log.appends <= 7);
     BOOST_TEST(log.appends >= 4);
 }
 
-BOOST_AUTO_TEST_CASE(a_claim_is_given_up_in_time)
+BOOST_AUTO_TEST_CASE(append_is_given_up_after_its_limit)
 {
     log.fates.assign(1'000, fate::refuse);
     begin(0, std::chrono::milliseconds{100});
     run();
     BOOST_REQUIRE(end.has_value());
-    BOOST_TEST((*end == sure_end::unknown));
+    BOOST_TEST((*end == reliable_append_outcome::unknown));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
