--- a/libraries/lease/worker_lease.cpp
+++ b/libraries/lease/worker_lease.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr std::int64_t s_million = 1'000'000;
+constexpr std::int64_t s_ppm = 1'000'000;
 
 } // namespace
 
@@ -34,22 +34,22 @@
                                             base::instant sent_at,
                                             base::instant received_at)
 {
-    if (incarnation == m_replaced)
+    if (incarnation == m_replaced_incarnation)
     {
         return answer_status::stale;
     }
     if (!m_last)
     {
         m_incarnation = incarnation;
-        m_last = reading{clock, sent_at, received_at};
+        m_last = clock_reading{clock, sent_at, received_at};
         return answer_status::same_process;
     }
     if (incarnation != m_incarnation)
     {
         // NOTE: A later answer of the old process cannot be told from a second
         // restart by its name alone, so the last one replaced is remembered.
-        m_replaced = std::exchange(m_incarnation, incarnation);
-        m_last = reading{clock, sent_at, received_at};
+        m_replaced_incarnation = std::exchange(m_incarnation, incarnation);
+        m_last = clock_reading{clock, sent_at, received_at};
         m_renewed_until = 0;
         return answer_status::new_process;
     }
@@ -57,7 +57,7 @@
     {
         return answer_status::stale;
     }
-    m_last = reading{clock, sent_at, received_at};
+    m_last = clock_reading{clock, sent_at, received_at};
     return answer_status::same_process;
 }
 
@@ -65,16 +65,17 @@
 {
     // Every earlier owner's renewal named a clock that had been read before
     // `m_since`, plus the length.
-    auto const by_others =
-        m_since + stretched(m_options.length) + m_options.margin;
+    auto const earlier_owners_end =
+        m_since + with_drift(m_options.length) + m_options.margin;
     if (!m_last)
     {
-        return by_others;
+        return earlier_owners_end;
     }
     auto const left = base::duration{
         std::max(m_renewed_until - m_last->clock, m_options.length.count())};
-    auto const by_us = m_last->received_at + stretched(left) + m_options.margin;
-    return std::max(by_others, by_us);
+    auto const own_end =
+        m_last->received_at + with_drift(left) + m_options.margin;
+    return std::max(earlier_owners_end, own_end);
 }
 
 std::optional<clock_bounds>
@@ -84,11 +85,11 @@
     {
         return std::nullopt;
     }
-    auto const least = std::max(now - m_last->received_at, base::duration{});
-    auto const most = std::max(now - m_last->sent_at, base::duration{});
-    auto const slow = least - (stretched(least) - least);
-    return clock_bounds{m_last->clock + slow.count(),
-                        m_last->clock + stretched(most).count()};
+    auto const shortest = std::max(now - m_last->received_at, base::duration{});
+    auto const longest = std::max(now - m_last->sent_at, base::duration{});
+    auto const slowest = shortest - (with_drift(shortest) - shortest);
+    return clock_bounds{m_last->clock + slowest.count(),
+                        m_last->clock + with_drift(longest).count()};
 }
 
 std::optional<base::instant> worker_lease::last_answer_at() const
@@ -100,9 +101,9 @@
     return m_last->received_at;
 }
 
-base::duration worker_lease::stretched(base::duration it) const
+base::duration worker_lease::with_drift(base::duration it) const
 {
-    return it + it * m_options.max_drift_ppm / s_million;
+    return it + it * m_options.max_drift_ppm / s_ppm;
 }
 
 } // namespace berylhill::lease
--- a/libraries/lease/worker_lease.hpp
+++ b/libraries/lease/worker_lease.hpp
@@ -97,22 +97,23 @@
     friend bool operator==(worker_lease const&, worker_lease const&) = default;
 
 private:
-    struct reading
+    struct clock_reading
     {
         std::int64_t clock{0};
         base::instant sent_at{};
         base::instant received_at{};
 
-        friend bool operator==(reading const&, reading const&) = default;
+        friend bool operator==(clock_reading const&,
+                               clock_reading const&) = default;
     };
 
-    [[nodiscard]] base::duration stretched(base::duration it) const;
+    [[nodiscard]] base::duration with_drift(base::duration it) const;
 
     lease_options m_options;
     base::instant m_since{};
     std::string m_incarnation;
-    std::string m_replaced;
-    std::optional<reading> m_last;
+    std::string m_replaced_incarnation;
+    std::optional<clock_reading> m_last;
     /// The furthest renewal of this process of the worker.
     std::int64_t m_renewed_until{0};
 };
