--- a/libraries/jobs/job_table.cpp
+++ b/libraries/jobs/job_table.cpp
@@ -23,7 +23,7 @@
     {
         m_epoch = it.epoch;
     }
-    std::visit([this](auto const& value) { take(value); }, it.value);
+    std::visit([this](auto const& value) { apply_record(value); }, it.value);
     return true;
 }
 
@@ -33,12 +33,12 @@
     m_keys.clear();
 }
 
-void job_table::take(shard_opened const& it)
+void job_table::apply_record(shard_opened const& it)
 {
     m_term = std::max(m_term, it.term);
 }
 
-void job_table::take(job_accepted const& it)
+void job_table::apply_record(job_accepted const& it)
 {
     job_entry entry;
     entry.request = it.request;
@@ -46,7 +46,7 @@
     add(it.job, std::move(entry));
 }
 
-void job_table::take(start_intent const& it)
+void job_table::apply_record(start_intent const& it)
 {
     auto const found = m_jobs.find(it.attempt.task.job);
     if (found != m_jobs.end())
@@ -55,7 +55,7 @@
     }
 }
 
-void job_table::take(task_done const& it)
+void job_table::apply_record(task_done const& it)
 {
     auto const found = m_jobs.find(it.task.job);
     if (found != m_jobs.end())
@@ -64,7 +64,7 @@
     }
 }
 
-void job_table::take(job_ended const& it)
+void job_table::apply_record(job_ended const& it)
 {
     auto const found = m_jobs.find(it.job);
     if (found == m_jobs.end() || model::is_final(found->second.state))
@@ -76,7 +76,7 @@
     found->second.ended_at_us = it.at_us;
 }
 
-void job_table::take(job_snapshot const& it)
+void job_table::apply_record(job_snapshot const& it)
 {
     if (m_jobs.contains(it.job))
     {
--- a/libraries/jobs/job_table.hpp
+++ b/libraries/jobs/job_table.hpp
@@ -78,12 +78,12 @@
 private:
     using key_of_contract = std::pair<std::string, std::string>;
 
-    void take(shard_opened const& it);
-    void take(job_accepted const& it);
-    void take(start_intent const& it);
-    void take(task_done const& it);
-    void take(job_ended const& it);
-    void take(job_snapshot const& it);
+    void apply_record(shard_opened const& it);
+    void apply_record(job_accepted const& it);
+    void apply_record(start_intent const& it);
+    void apply_record(task_done const& it);
+    void apply_record(job_ended const& it);
+    void apply_record(job_snapshot const& it);
     void add(std::string const& job, job_entry entry);
 
     std::int64_t m_epoch{-1};
--- a/libraries/jobs/record.cpp
+++ b/libraries/jobs/record.cpp
@@ -29,7 +29,7 @@
     return out;
 }
 
-Json::Value intent_json(start_intent const& it)
+Json::Value intent_to_json(start_intent const& it)
 {
     auto out = to_json(it.attempt);
     out["group"] = it.group;
@@ -37,7 +37,7 @@
     return out;
 }
 
-base::result<start_intent> intent_of(Json::Value const& it)
+base::result<start_intent> intent_from_json(Json::Value const& it)
 {
     BOOST_LEAF_AUTO(attempt, model::attempt_id_from(it));
     return start_intent{attempt, it["group"].asString(),
@@ -46,7 +46,7 @@
 
 Json::Value body_of(start_intent const& it)
 {
-    auto out = intent_json(it);
+    auto out = intent_to_json(it);
     out["kind"] = "intent";
     return out;
 }
@@ -87,7 +87,7 @@
     out["intents"] = Json::Value{Json::arrayValue};
     for (auto const& one : it.intents)
     {
-        out["intents"].append(intent_json(one));
+        out["intents"].append(intent_to_json(one));
     }
     return out;
 }
@@ -105,7 +105,7 @@
 
 base::result<record> intent_from(Json::Value const& it)
 {
-    BOOST_LEAF_AUTO(value, intent_of(it));
+    BOOST_LEAF_AUTO(value, intent_from_json(it));
     return value;
 }
 
@@ -139,7 +139,7 @@
     }
     for (auto const& one : it["intents"])
     {
-        BOOST_LEAF_AUTO(value, intent_of(one));
+        BOOST_LEAF_AUTO(value, intent_from_json(one));
         out.intents.push_back(value);
     }
     return out;
--- a/tests/jobs/job_table_test.cpp
+++ b/tests/jobs/job_table_test.cpp
@@ -128,35 +128,35 @@
 namespace
 {
 
-struct ageing_case
+struct expiry_case
 {
     std::int64_t now_us;
     std::size_t left;
 };
 
-std::ostream& operator<<(std::ostream& out, ageing_case const& it)
+std::ostream& operator<<(std::ostream& out, expiry_case const& it)
 {
     return out << it.now_us;
 }
 
-std::array const s_ageing{
-    ageing_case{10'000'000, 2},
-    ageing_case{11'000'001, 1},
-    ageing_case{99'000'000, 1},
+std::array const s_expiry_cases{
+    expiry_case{10'000'000, 2},
+    expiry_case{11'000'001, 1},
+    expiry_case{99'000'000, 1},
 };
 
 } // namespace
 
-BOOST_DATA_TEST_CASE(finished_jobs_age_out_and_others_stay, s_ageing, it)
+BOOST_DATA_TEST_CASE(finished_jobs_age_out_and_others_stay, s_expiry_cases, it)
 {
-    jobs::job_table book;
-    book.apply(at(1, jobs::job_accepted{"j0-1", request("k"), 1}));
-    book.apply(at(1, jobs::job_accepted{"j0-2", request(), 1}));
-    book.apply(at(
+    jobs::job_table table;
+    table.apply(at(1, jobs::job_accepted{"j0-1", request("k"), 1}));
+    table.apply(at(1, jobs::job_accepted{"j0-2", request(), 1}));
+    table.apply(at(
         1, jobs::job_ended{"j0-1", model::job_state::failed, "", 1'000'000}));
-    book.remove_expired(it.now_us, [](auto const&) { return 10.0; });
-    BOOST_TEST(book.jobs().size() == it.left);
-    BOOST_TEST(book.job_of_key("kitakaze", "k").has_value() == (it.left == 2));
+    table.remove_expired(it.now_us, [](auto const&) { return 10.0; });
+    BOOST_TEST(table.jobs().size() == it.left);
+    BOOST_TEST(table.job_of_key("kitakaze", "k").has_value() == (it.left == 2));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
