--- a/libraries/ownership/claim_table.cpp
+++ b/libraries/ownership/claim_table.cpp
@@ -13,17 +13,17 @@
 {
 }
 
-applied claim_table::apply(std::int64_t offset, record const& it)
+apply_result claim_table::apply(std::int64_t offset, record const& it)
 {
     m_next = std::max(m_next, offset + 1);
     if (!m_complete && !std::holds_alternative<snapshot>(it))
     {
-        m_held_back.emplace_back(offset, it);
+        m_deferred.emplace_back(offset, it);
         return {};
     }
-    auto const done =
-        std::visit([&](auto const& typed) { return take(offset, typed); }, it);
-    m_version += done.counted ? 1 : 0;
+    auto const done = std::visit(
+        [&](auto const& typed) { return apply_record(offset, typed); }, it);
+    m_version += done.effective ? 1 : 0;
     return done;
 }
 
@@ -39,16 +39,16 @@
     m_next = std::max(m_next, first);
     m_units.clear();
     m_members.clear();
-    m_held_back.clear();
+    m_deferred.clear();
     ++m_version;
 }
 
 void claim_table::assume_complete()
 {
     m_complete = true;
-    auto const held_back = std::move(m_held_back);
-    m_held_back.clear();
-    for (auto const& [offset, it] : held_back)
+    auto const deferred = std::move(m_deferred);
+    m_deferred.clear();
+    for (auto const& [offset, it] : deferred)
     {
         apply(offset, it);
     }
@@ -77,7 +77,7 @@
     std::vector<std::string> names;
     for (auto const& [name, it] : m_units)
     {
-        if (it.changed >= offset)
+        if (it.last_change >= offset)
         {
             names.push_back(name);
         }
@@ -101,10 +101,11 @@
     {
         return true;
     }
-    return claimer.joined < std::max(holder->second.seen, current.epoch);
+    return claimer.join_offset <
+           std::max(holder->second.seen_through, current.epoch);
 }
 
-applied claim_table::take(std::int64_t offset, join const& it)
+apply_result claim_table::apply_record(std::int64_t offset, join const& it)
 {
     // One process runs at a time on an instance, so an older one is gone.
     std::erase_if(m_members, [&](auto const& known)
@@ -113,32 +114,32 @@
     return {true, false};
 }
 
-applied claim_table::take(std::int64_t, leave const& it)
+apply_result claim_table::apply_record(std::int64_t, leave const& it)
 {
     return {m_members.erase(it.incarnation) != 0, false};
 }
 
-applied claim_table::take(std::int64_t, removal const& it)
+apply_result claim_table::apply_record(std::int64_t, removal const& it)
 {
     return {m_members.erase(it.incarnation) != 0, false};
 }
 
-applied claim_table::take(std::int64_t offset, seen const& it)
+apply_result claim_table::apply_record(std::int64_t offset, seen const& it)
 {
     auto const known = m_members.find(it.incarnation);
     if (known == m_members.end())
     {
         return {};
     }
-    auto& through = known->second.seen;
+    auto& through = known->second.seen_through;
     through = std::max(through, std::min(it.through, offset));
     return {true, false};
 }
 
-applied claim_table::take(std::int64_t offset, claim const& it)
+apply_result claim_table::apply_record(std::int64_t offset, claim const& it)
 {
     auto const* current = owner_of(it.unit);
-    auto const changed = current == nullptr ? -1 : current->changed;
+    auto const changed = current == nullptr ? -1 : current->last_change;
     if (it.follows != changed || !may_claim(it.unit, it.incarnation))
     {
         return {};
@@ -148,7 +149,7 @@
     return {true, was_free};
 }
 
-applied claim_table::take(std::int64_t offset, release const& it)
+apply_result claim_table::apply_record(std::int64_t offset, release const& it)
 {
     auto const found = m_units.find(it.unit);
     if (found == m_units.end())
@@ -161,7 +162,7 @@
     {
         return {};
     }
-    current.changed = offset;
+    current.last_change = offset;
     if (m_members.contains(it.successor))
     {
         current.incarnation = it.successor;
@@ -172,21 +173,21 @@
     return {true, true};
 }
 
-applied claim_table::take(std::int64_t offset, snapshot const& it)
+apply_result claim_table::apply_record(std::int64_t offset, snapshot const& it)
 {
     if (m_complete || it.through < m_first)
     {
         return {};
     }
-    auto const loaded = load(it.table);
+    auto const loaded = load_snapshot(it.table);
     if (!loaded.has_value())
     {
         base::log(base::log_level::warning, "snapshot_skipped",
                   {{"offset", offset}, {"why", loaded.error().message}});
         return {};
     }
-    std::erase_if(m_held_back,
-                  [&](auto const& held) { return held.first < it.through; });
+    std::erase_if(m_deferred,
+                  [&](auto const& entry) { return entry.first < it.through; });
     assume_complete();
     return {true, false};
 }
@@ -199,8 +200,8 @@
         Json::Value row{Json::arrayValue};
         row.append(it.instance);
         row.append(it.zone);
-        row.append(Json::Int64{it.joined});
-        row.append(Json::Int64{it.seen});
+        row.append(Json::Int64{it.join_offset});
+        row.append(Json::Int64{it.seen_through});
         table["members"][name] = std::move(row);
     }
     for (auto const& [name, it] : m_units)
@@ -208,14 +209,14 @@
         Json::Value row{Json::arrayValue};
         row.append(it.incarnation);
         row.append(Json::Int64{it.epoch});
-        row.append(Json::Int64{it.changed});
+        row.append(Json::Int64{it.last_change});
         row.append(it.released);
         table["units"][name] = std::move(row);
     }
     return {m_next, model::text_of(table)};
 }
 
-base::outcome<base::done> claim_table::load(std::string const& text)
+base::outcome<base::done> claim_table::load_snapshot(std::string const& text)
 {
     auto const parsed = base::capture([&] { return model::parse_json(text); });
     if (!parsed.has_value())
--- a/libraries/ownership/claim_table.hpp
+++ b/libraries/ownership/claim_table.hpp
@@ -19,9 +19,9 @@
 {
     std::string instance;
     std::string zone;
-    std::int64_t joined{0};
+    std::int64_t join_offset{0};
     /// It knows all who joined before this offset.
-    std::int64_t seen{0};
+    std::int64_t seen_through{0};
 
     friend auto operator<=>(member const&, member const&) = default;
 };
@@ -33,22 +33,22 @@
     /// The offset of the record that made it the owner.
     std::int64_t epoch{0};
     /// The offset of the unit's last change; what the next claim follows.
-    std::int64_t changed{0};
+    std::int64_t last_change{0};
     bool released{false};
 
     friend auto operator<=>(owner const&, owner const&) = default;
 };
 
 /// What one record did to the table.
-struct applied
+struct apply_result
 {
     /// It counted; records that came second, or from a process that does not
     /// take part, do not.
-    bool counted{false};
+    bool effective{false};
     /// For a claim or a successor: nobody can still act under an older right.
     bool unit_was_free{false};
 
-    friend auto operator<=>(applied const&, applied const&) = default;
+    friend auto operator<=>(apply_result const&, apply_result const&) = default;
 };
 
 /// When the claim of a process that the unit's owner may not know counts.
@@ -68,7 +68,7 @@
     explicit claim_table(joiner_rule joiners = joiner_rule::wait_until_seen);
 
     /// Takes the record at `offset`; offsets must not fall.
-    applied apply(std::int64_t offset, record const& it);
+    apply_result apply(std::int64_t offset, record const& it);
 
     /// All records before `offset` have been applied.
     void advance_to(std::int64_t offset);
@@ -119,16 +119,17 @@
     friend auto operator<=>(claim_table const&, claim_table const&) = default;
 
 private:
-    applied take(std::int64_t offset, join const& it);
-    applied take(std::int64_t offset, leave const& it);
-    applied take(std::int64_t offset, removal const& it);
-    applied take(std::int64_t offset, seen const& it);
-    applied take(std::int64_t offset, claim const& it);
-    applied take(std::int64_t offset, release const& it);
-    applied take(std::int64_t offset, snapshot const& it);
+    apply_result apply_record(std::int64_t offset, join const& it);
+    apply_result apply_record(std::int64_t offset, leave const& it);
+    apply_result apply_record(std::int64_t offset, removal const& it);
+    apply_result apply_record(std::int64_t offset, seen const& it);
+    apply_result apply_record(std::int64_t offset, claim const& it);
+    apply_result apply_record(std::int64_t offset, release const& it);
+    apply_result apply_record(std::int64_t offset, snapshot const& it);
     [[nodiscard]] bool knows_claimer(owner const& current,
                                      member const& claimer) const;
-    [[nodiscard]] base::outcome<base::done> load(std::string const& text);
+    [[nodiscard]] base::outcome<base::done>
+    load_snapshot(std::string const& text);
 
     joiner_rule m_joiners;
     bool m_complete{true};
@@ -138,7 +139,7 @@
     std::map<std::string, owner> m_units;
     std::map<std::string, member> m_members;
     /// Read since `restart`, to be applied once a snapshot has come.
-    std::vector<std::pair<std::int64_t, record>> m_held_back;
+    std::vector<std::pair<std::int64_t, record>> m_deferred;
 };
 
 } // namespace berylhill::ownership
--- a/libraries/ownership/message.cpp
+++ b/libraries/ownership/message.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-base::result<base::done> need_texts(Json::Value const& it,
-                                    std::initializer_list<char const*> names)
+base::result<base::done>
+require_strings(Json::Value const& it, std::initializer_list<char const*> names)
 {
     for (auto const* name : names)
     {
@@ -68,7 +68,7 @@
 
 base::result<heartbeat> heartbeat_from(Json::Value const& it)
 {
-    BOOST_LEAF_CHECK(need_texts(it, {"incarnation", "instance", "zone"}));
+    BOOST_LEAF_CHECK(require_strings(it, {"incarnation", "instance", "zone"}));
     return heartbeat{it["incarnation"].asString(), it["instance"].asString(),
                      it["zone"].asString(),
                      it["leaving"].isBool() && it["leaving"].asBool()};
@@ -76,13 +76,13 @@
 
 base::result<suspicion> suspicion_from(Json::Value const& it)
 {
-    BOOST_LEAF_CHECK(need_texts(it, {"from", "silent"}));
+    BOOST_LEAF_CHECK(require_strings(it, {"from", "silent"}));
     return suspicion{it["from"].asString(), it["silent"].asString()};
 }
 
 base::result<vouch_request> vouch_request_from(Json::Value const& it)
 {
-    BOOST_LEAF_CHECK(need_texts(it, {"from", "instance"}));
+    BOOST_LEAF_CHECK(require_strings(it, {"from", "instance"}));
     if (!it["round"].isUInt64() || !it["table_next"].isInt64())
     {
         return base::fail(base::failure_code::invalid,
@@ -94,7 +94,7 @@
 
 base::result<vouch_answer> vouch_answer_from(Json::Value const& it)
 {
-    BOOST_LEAF_CHECK(need_texts(it, {"from", "instance"}));
+    BOOST_LEAF_CHECK(require_strings(it, {"from", "instance"}));
     if (!it["round"].isUInt64() || !it["doubtful"].isArray())
     {
         return base::fail(base::failure_code::invalid,
--- a/libraries/ownership/participant.cpp
+++ b/libraries/ownership/participant.cpp
@@ -10,7 +10,7 @@
     : m_options{std::move(options)}
     , m_table{m_options.rules.joiners}
     , m_started{now}
-    , m_last_move{now}
+    , m_last_rebalance{now}
     , m_last_snapshot{now}
 {
 }
@@ -30,10 +30,10 @@
 {
     for (auto const& [offset, it] : records)
     {
-        fold(offset, it, now);
+        apply_record(offset, it, now);
     }
     m_table.advance_to(next);
-    choose_watched();
+    update_watchers();
     if (!fresh_as_of)
     {
         return {};
@@ -41,20 +41,20 @@
     if (!m_table.complete())
     {
         m_table.assume_complete();
-        m_trust_free_from =
+        m_trust_free_units_from =
             now + m_options.lease_duration + m_options.clock_margin;
     }
-    m_log_right_until =
-        std::max(m_log_right_until, *fresh_as_of + m_options.lease_duration);
+    m_log_lease_until =
+        std::max(m_log_lease_until, *fresh_as_of + m_options.lease_duration);
     // What was written before this read, and is not among what was read, was
     // lost in a gap or did not count.
-    for (auto it = m_written.begin(); it != m_written.end();)
+    for (auto it = m_written_at.begin(); it != m_written_at.end();)
     {
         auto const [ticket, at] = *it;
         ++it;
         if (at <= *fresh_as_of)
         {
-            forget(ticket);
+            discard_append(ticket);
         }
     }
     return tick(now);
@@ -64,18 +64,20 @@
 {
     m_table.reset(first);
     m_active_from.clear();
-    m_orphaned.clear();
-    m_log_right_until = {};
+    m_unowned_since.clear();
+    m_log_lease_until = {};
     m_vouched_until = {};
     m_round.reset();
     m_scanned = false;
 }
 
-void participant::fold(std::int64_t offset, record const& it, base::instant now)
+void participant::apply_record(std::int64_t offset,
+                               record const& it,
+                               base::instant now)
 {
     auto const was_member = is_member();
     auto const done = m_table.apply(offset, it);
-    settle_own(it);
+    resolve_own_append(it);
     if (auto const* joined = std::get_if<join>(&it))
     {
         if (was_member && !is_member())
@@ -90,20 +92,20 @@
         }
         auto& known = m_peers[joined->incarnation];
         known.instance = joined->instance;
-        known.heard = std::max(known.heard, now);
+        known.last_heard = std::max(known.last_heard, now);
     }
-    else if (auto const* taken = std::get_if<claim>(&it))
+    else if (auto const* claim_record = std::get_if<claim>(&it))
     {
-        m_peers[taken->incarnation].wrote = now;
-        note_change(taken->unit, done, now);
+        m_peers[claim_record->incarnation].last_claim_read = now;
+        update_activation(claim_record->unit, done, now);
     }
-    else if (auto const* given = std::get_if<release>(&it))
+    else if (auto const* release_record = std::get_if<release>(&it))
     {
-        if (given->incarnation == m_options.incarnation)
+        if (release_record->incarnation == m_options.incarnation)
         {
-            m_releasing.erase(given->unit);
+            m_releasing.erase(release_record->unit);
         }
-        note_change(given->unit, done, now);
+        update_activation(release_record->unit, done, now);
     }
     else if (auto const* table = std::get_if<snapshot>(&it))
     {
@@ -112,11 +114,11 @@
     }
 }
 
-void participant::note_change(std::string const& unit,
-                              applied const& done,
-                              base::instant now)
+void participant::update_activation(std::string const& unit,
+                                    apply_result const& done,
+                                    base::instant now)
 {
-    if (!done.counted)
+    if (!done.effective)
     {
         return;
     }
@@ -129,27 +131,27 @@
     }
     // An older right ends at the latest `right` after the claim took effect,
     // which was before now; `margin` allows for clocks of unlike rates.
-    auto const is_free = done.unit_was_free && now >= m_trust_free_from;
+    auto const is_free = done.unit_was_free && now >= m_trust_free_units_from;
     m_active_from[unit] =
         is_free ? now : now + m_options.lease_duration + m_options.clock_margin;
 }
 
-void participant::settle_own(record const& it)
+void participant::resolve_own_append(record const& it)
 {
     for (auto const& [ticket, own] : m_unresolved)
     {
         if (own == it)
         {
-            forget(ticket);
+            discard_append(ticket);
             return;
         }
     }
 }
 
-void participant::forget(std::uint64_t ticket)
+void participant::discard_append(std::uint64_t ticket)
 {
     m_unresolved.erase(ticket);
-    m_written.erase(ticket);
+    m_written_at.erase(ticket);
 }
 
 actions participant::on_append_settled(std::uint64_t ticket,
@@ -163,14 +165,14 @@
     }
     if (end == append_outcome::written)
     {
-        m_written.emplace(ticket, now);
+        m_written_at.emplace(ticket, now);
         return {};
     }
     if (auto const* it = std::get_if<release>(&found->second))
     {
         m_releasing.erase(it->unit);
     }
-    forget(ticket);
+    discard_append(ticket);
     return {};
 }
 
@@ -178,7 +180,7 @@
 {
     auto& known = m_peers[it.incarnation];
     known.instance = it.instance;
-    known.heard = std::max(known.heard, now);
+    known.last_heard = std::max(known.last_heard, now);
     known.leaving = it.leaving;
     return {};
 }
@@ -197,9 +199,9 @@
     {
         for (auto const& [ticket, own] : m_unresolved)
         {
-            if (auto const* taken = std::get_if<claim>(&own))
+            if (auto const* claim_record = std::get_if<claim>(&own))
             {
-                answer.doubtful.push_back(taken->unit);
+                answer.doubtful.push_back(claim_record->unit);
             }
         }
     }
@@ -235,14 +237,14 @@
 
 void participant::ask_vouches(base::instant now, actions& out)
 {
-    auto const log_is_late =
-        m_log_right_until - now < m_options.lease_duration / 2;
+    auto const log_lease_is_short =
+        m_log_lease_until - now < m_options.lease_duration / 2;
     auto const is_asking =
         m_round && now - m_round->started < m_options.lease_duration / 4;
-    auto const is_settled =
+    auto const has_enough_time =
         m_vouched_until - now > m_options.lease_duration / 2;
-    if (!log_is_late || is_asking || is_settled || m_active_from.empty() ||
-        !is_member())
+    if (!log_lease_is_short || is_asking || has_enough_time ||
+        m_active_from.empty() || !is_member())
     {
         return;
     }
@@ -299,14 +301,14 @@
     };
     for (auto const& [incarnation, it] : m_table.members())
     {
-        auto const was_dropped = m_ever_listed.contains(it.instance) &&
-                                 !m_listed.contains(it.instance);
-        if (!was_dropped && !has_answered(it.instance))
+        auto const was_unlisted = m_ever_listed.contains(it.instance) &&
+                                  !m_listed.contains(it.instance);
+        if (!was_unlisted && !has_answered(it.instance))
         {
             return false;
         }
     }
-    return m_options.rules.dropped == dropped_rule::is_exempt ||
+    return m_options.rules.removed_members == removed_member_rule::exempt ||
            std::all_of(m_listed.begin(), m_listed.end(), has_answered);
 }
 
@@ -316,10 +318,9 @@
     {
         return;
     }
-    auto const may_go_on =
-        m_options.rules.vouch == vouch_rule::whoever_answers ||
-        all_members_answered() || all_listed_answered();
-    if (!may_go_on)
+    auto const is_confirmed = m_options.rules.vouch == vouch_rule::any_member ||
+                              all_members_answered() || all_listed_answered();
+    if (!is_confirmed)
     {
         return;
     }
@@ -339,7 +340,7 @@
         return std::nullopt;
     }
     auto const has_right =
-        now < m_log_right_until ||
+        now < m_log_lease_until ||
         (now < m_vouched_until && !m_doubtful.contains(unit));
     if (!has_right)
     {
--- a/libraries/ownership/participant.hpp
+++ b/libraries/ownership/participant.hpp
@@ -4,7 +4,7 @@
 #include <ownership/claim_table.hpp>
 #include <ownership/message.hpp>
 #include <ownership/record.hpp>
-#include <ownership/spread.hpp>
+#include <ownership/unit_distribution.hpp>
 
 #include <algorithm>
 #include <cstdint>
@@ -22,8 +22,8 @@
 /// Whose word an owner needs to go on without the log.
 enum class vouch_rule : std::uint8_t
 {
-    every_member,    ///< All that it knows.
-    whoever_answers, ///< Not safe; for the exhaustive test only.
+    every_member, ///< All that it knows.
+    any_member,   ///< Not safe; for the exhaustive test only.
 };
 
 /// What a process with an unresolved claim says when it is asked to vouch.
@@ -34,10 +34,10 @@
 };
 
 /// What an owner needs where a member that it knows is gone for good.
-enum class dropped_rule : std::uint8_t
+enum class removed_member_rule : std::uint8_t
 {
     ask_all_listed, ///< All that a list fetched since shows have vouched.
-    is_exempt,      ///< Not safe; for the exhaustive test only.
+    exempt,         ///< Not safe; for the exhaustive test only.
 };
 
 /// The rules that keep two processes from acting for one unit. Only tests give
@@ -47,7 +47,7 @@
     vouch_rule vouch{vouch_rule::every_member};
     unresolved_rule unresolved{unresolved_rule::is_doubtful};
     joiner_rule joiners{joiner_rule::wait_until_seen};
-    dropped_rule dropped{dropped_rule::ask_all_listed};
+    removed_member_rule removed_members{removed_member_rule::ask_all_listed};
 
     friend auto operator<=>(safety_rules const&, safety_rules const&) = default;
 };
@@ -67,23 +67,23 @@
     /// A process beats to at most this many others. They tell the rest when it
     /// falls silent, so that what an instance sends does not grow with the
     /// number of instances.
-    std::size_t watchers{8};
+    std::size_t max_watchers{8};
     /// How often a watcher repeats that a process is silent.
-    base::duration suspicion_every{std::chrono::milliseconds{500}};
+    base::duration suspicion_interval{std::chrono::milliseconds{500}};
     /// Longer, where this process hears less than half of the others and may
     /// itself be the one that is cut off.
-    base::duration isolated_after{std::chrono::milliseconds{4'000}};
+    base::duration isolated_suspect_after{std::chrono::milliseconds{4'000}};
     /// With fewer others than this, hearing none says nothing about who is cut
     /// off.
-    std::size_t fewest_to_be_isolated{2};
+    std::size_t min_peers_for_isolation{2};
     /// How long the process wanted first for a unit may leave it unclaimed.
-    base::duration claim_patience{std::chrono::milliseconds{600}};
+    base::duration claim_delay_step{std::chrono::milliseconds{600}};
     /// A stopping process takes part for this long, so that the others, who
     /// hear of it by heartbeat, have ceased to hand units to it.
-    base::duration leave_after{std::chrono::milliseconds{700}};
+    base::duration min_leave_delay{std::chrono::milliseconds{700}};
     /// Load above the mean at which an owner passes units on.
-    double most_load{1.25};
-    base::duration move_every{std::chrono::seconds{2}};
+    double max_load_factor{1.25};
+    base::duration rebalance_interval{std::chrono::seconds{2}};
     /// Records after which the table is written again.
     std::int64_t snapshot_records{2'000};
     /// And the time after which it is, whatever was written: well below the
@@ -243,9 +243,9 @@
         return m_left;
     }
     /// The end of the right that the log gave; in an outage it lies behind.
-    [[nodiscard]] base::instant log_right_until() const noexcept
+    [[nodiscard]] base::instant log_lease_until() const noexcept
     {
-        return m_log_right_until;
+        return m_log_lease_until;
     }
     [[nodiscard]] base::instant vouched_until() const noexcept
     {
@@ -261,9 +261,9 @@
     struct peer
     {
         std::string instance;
-        base::instant heard{};
+        base::instant last_heard{};
         /// When a record of this process was last read.
-        base::instant wrote{};
+        base::instant last_claim_read{};
         bool leaving{false};
 
         friend auto operator<=>(peer const&, peer const&) = default;
@@ -282,11 +282,11 @@
                                 vouch_round const&) = default;
     };
 
-    void fold(std::int64_t offset, record const& it, base::instant now);
-    void settle_own(record const& it);
-    void note_change(std::string const& unit,
-                     applied const& done,
-                     base::instant now);
+    void apply_record(std::int64_t offset, record const& it, base::instant now);
+    void resolve_own_append(record const& it);
+    void update_activation(std::string const& unit,
+                           apply_result const& done,
+                           base::instant now);
     void append(record it, actions& out);
     template <class Record>
     [[nodiscard]] bool has_pending() const
@@ -297,49 +297,51 @@
                            });
     }
     [[nodiscard]] bool has_pending_claim(std::string const& unit) const;
-    void forget(std::uint64_t ticket);
+    void discard_append(std::uint64_t ticket);
     [[nodiscard]] bool is_member() const;
     [[nodiscard]] bool log_is_fresh(base::instant now) const;
 
-    void take_part(base::instant now, actions& out);
+    void request_join(base::instant now, actions& out);
     void publish_seen(actions& out);
-    void remove_dropped(base::instant now, actions& out);
-    void claim_orphans(base::instant now, actions& out);
-    void move_surplus(base::instant now, actions& out);
+    void remove_unlisted_members(base::instant now, actions& out);
+    void claim_unowned_units(base::instant now, actions& out);
+    void rebalance(base::instant now, actions& out);
     void write_snapshot(base::instant now, actions& out);
-    void part(base::instant now, actions& out);
+    void leave_when_ready(base::instant now, actions& out);
     void ask_vouches(base::instant now, actions& out);
     void finish_round();
     [[nodiscard]] bool all_members_answered() const;
     [[nodiscard]] bool all_listed_answered() const;
 
-    [[nodiscard]] bool is_heard(std::string const& incarnation,
+    [[nodiscard]] bool is_alive(std::string const& incarnation,
                                 base::instant now,
                                 base::duration within) const;
-    [[nodiscard]] bool is_first(std::string const& what,
-                                base::instant now) const;
+    [[nodiscard]] bool is_preferred_for(std::string const& what,
+                                        base::instant now) const;
     [[nodiscard]] bool is_suspected(std::string const& incarnation,
                                     base::instant now) const;
-    [[nodiscard]] base::duration suspicion_time(base::instant now) const;
+    [[nodiscard]] base::duration suspect_timeout(base::instant now) const;
     [[nodiscard]] bool is_isolated(base::instant now) const;
-    [[nodiscard]] bool is_cut_off(base::instant now) const;
-    void choose_watched();
-    void tell_silent(base::instant now, actions& out);
-    [[nodiscard]] unit_counts counts() const;
-    [[nodiscard]] std::vector<candidate> takers(base::instant now) const;
+    [[nodiscard]] bool is_probably_cut_off(base::instant now) const;
+    void update_watchers();
+    void report_silent_peers(base::instant now, actions& out);
+    [[nodiscard]] unit_counts count_units() const;
+    [[nodiscard]] std::vector<candidate>
+    eligible_owners(base::instant now) const;
     [[nodiscard]] std::vector<std::string> surplus_units(double mean) const;
-    void claim_one(std::string const& unit,
-                   std::vector<candidate> const& candidates,
-                   unit_counts& load,
-                   base::instant now,
-                   actions& out);
+    void claim_unit(std::string const& unit,
+                    std::vector<candidate> const& candidates,
+                    unit_counts& load,
+                    base::instant now,
+                    actions& out);
     void hand_over(std::string const& unit,
                    std::string const& successor,
                    actions& out);
-    [[nodiscard]] std::string taker_of(std::string const& unit,
-                                       std::vector<candidate> const& candidates,
-                                       unit_counts& load,
-                                       std::size_t most) const;
+    [[nodiscard]] std::string
+    choose_successor(std::string const& unit,
+                     std::vector<candidate> const& candidates,
+                     unit_counts& load,
+                     std::size_t most) const;
 
     participant_options m_options;
     claim_table m_table;
@@ -350,14 +352,14 @@
     /// failure, how they ended.
     std::map<std::uint64_t, record> m_unresolved;
     /// Of these, the written ones, and when that became known.
-    std::map<std::uint64_t, base::instant> m_written;
+    std::map<std::uint64_t, base::instant> m_written_at;
     /// From when on this process acts for the units that it has won.
     std::map<std::string, base::instant> m_active_from;
     /// Since when a unit has been without a living owner.
-    std::map<std::string, base::instant> m_orphaned;
+    std::map<std::string, base::instant> m_unowned_since;
     /// Release records under way: this process has stopped acting for these.
     std::set<std::string> m_releasing;
-    base::instant m_log_right_until{};
+    base::instant m_log_lease_until{};
     base::instant m_vouched_until{};
     std::set<std::string> m_doubtful;
     std::optional<vouch_round> m_round;
@@ -366,26 +368,26 @@
     /// The incarnations that beat to this process, and those that it beats to.
     std::set<std::string> m_watched;
     std::set<std::string> m_watchers;
-    std::vector<candidate> m_watch_chosen_of;
+    std::vector<candidate> m_watch_members;
     /// By the silent process and who says so.
     std::map<std::string, std::map<std::string, base::instant>> m_suspected;
-    base::instant m_last_told{};
+    base::instant m_last_suspicion_at{};
     std::set<std::string> m_listed;
     std::set<std::string> m_ever_listed;
     std::optional<base::instant> m_listed_as_of;
     base::instant m_joined_at{};
     base::instant m_stopping_since{};
-    base::instant m_last_move{};
+    base::instant m_last_rebalance{};
     base::instant m_last_snapshot{};
     std::int64_t m_snapshot_through{0};
     bool m_stopping{false};
     bool m_left{false};
     /// The table began after a gap that nobody could fill: until then, units
     /// that look free may have an owner.
-    base::instant m_trust_free_from{};
+    base::instant m_trust_free_units_from{};
     /// What `claim_orphans` looked at last; it has nothing to do while this
     /// stays.
-    std::uint64_t m_scanned_version{0};
+    std::uint64_t m_scanned_table_version{0};
     std::vector<candidate> m_scanned_live;
     bool m_scanned{false};
 };
--- a/libraries/ownership/participant_plan.cpp
+++ b/libraries/ownership/participant_decisions.cpp
@@ -11,7 +11,7 @@
 {
 
 /// Surplus units passed on at once are this part of the surplus, at least one.
-constexpr std::size_t s_part_moved = 8;
+constexpr std::size_t s_surplus_divisor = 8;
 
 } // namespace
 
@@ -26,19 +26,19 @@
     {
         if (m_stopping)
         {
-            part(now, out);
+            leave_when_ready(now, out);
         }
         else
         {
-            take_part(now, out);
-            remove_dropped(now, out);
-            claim_orphans(now, out);
-            move_surplus(now, out);
+            request_join(now, out);
+            remove_unlisted_members(now, out);
+            claim_unowned_units(now, out);
+            rebalance(now, out);
             write_snapshot(now, out);
         }
         publish_seen(out);
     }
-    tell_silent(now, out);
+    report_silent_peers(now, out);
     ask_vouches(now, out);
     return out;
 }
@@ -77,18 +77,19 @@
 
 bool participant::log_is_fresh(base::instant now) const
 {
-    return m_table.complete() && now < m_log_right_until;
+    return m_table.complete() && now < m_log_lease_until;
 }
 
-void participant::claim_orphans(base::instant now, actions& out)
+void participant::claim_unowned_units(base::instant now, actions& out)
 {
     auto alive = live_members(now);
-    auto const is_same = m_scanned && m_orphaned.empty() &&
-                         m_scanned_version == m_table.version() &&
-                         m_scanned_live == alive;
+    auto const inputs_unchanged =
+        m_scanned && m_unowned_since.empty() &&
+        m_scanned_table_version == m_table.version() && m_scanned_live == alive;
     // When all start at once, the first to join would take every unit.
-    auto const is_early = now - m_joined_at < m_options.suspect_after;
-    if (is_same || is_early || !is_member() || is_cut_off(now))
+    auto const joined_recently = now - m_joined_at < m_options.suspect_after;
+    if (inputs_unchanged || joined_recently || !is_member() ||
+        is_probably_cut_off(now))
     {
         return;
     }
@@ -97,41 +98,41 @@
     {
         owners.insert(it.incarnation);
     }
-    auto const candidates = takers(now);
-    auto load = counts();
+    auto const candidates = eligible_owners(now);
+    auto load = count_units();
     for (auto const& unit : m_units)
     {
         auto const* current = m_table.owner_of(unit);
-        auto const has_owner = current != nullptr && !current->released &&
-                               owners.contains(current->incarnation);
-        if (has_owner)
+        auto const has_live_owner = current != nullptr && !current->released &&
+                                    owners.contains(current->incarnation);
+        if (has_live_owner)
         {
-            m_orphaned.erase(unit);
+            m_unowned_since.erase(unit);
             continue;
         }
-        claim_one(unit, candidates, load, now, out);
+        claim_unit(unit, candidates, load, now, out);
     }
-    std::erase_if(m_orphaned,
+    std::erase_if(m_unowned_since,
                   [&](auto const& it) { return !m_units.contains(it.first); });
     m_scanned = true;
-    m_scanned_version = m_table.version();
+    m_scanned_table_version = m_table.version();
     m_scanned_live = std::move(alive);
 }
 
-void participant::claim_one(std::string const& unit,
-                            std::vector<candidate> const& candidates,
-                            unit_counts& load,
-                            base::instant now,
-                            actions& out)
+void participant::claim_unit(std::string const& unit,
+                             std::vector<candidate> const& candidates,
+                             unit_counts& load,
+                             base::instant now,
+                             actions& out)
 {
-    auto const since = m_orphaned.try_emplace(unit, now).first->second;
+    auto const since = m_unowned_since.try_emplace(unit, now).first->second;
     if (has_pending_claim(unit))
     {
         return;
     }
-    auto const most =
-        most_units(m_units.size(), candidates.size(), m_options.most_load);
-    auto order = wanted_order(unit, candidates);
+    auto const most = max_units_per_process(m_units.size(), candidates.size(),
+                                            m_options.max_load_factor);
+    auto order = preference_order(unit, candidates);
     std::erase_if(order, [&](std::string const& it)
                   { return load[it] >= most || !m_table.may_claim(unit, it); });
     auto const own =
@@ -143,23 +144,24 @@
     // The next ones in order come forward if the first, which may not be able
     // to reach the log, does not.
     auto const rank = own - order.begin();
-    if (now - since < m_options.claim_patience * rank)
+    if (now - since < m_options.claim_delay_step * rank)
     {
         ++load[order.front()];
         return;
     }
     ++load[m_options.incarnation];
     auto const* current = m_table.owner_of(unit);
-    auto const follows = current == nullptr ? -1 : current->changed;
+    auto const follows = current == nullptr ? -1 : current->last_change;
     append(claim{unit, m_options.incarnation, follows}, out);
 }
 
-std::string participant::taker_of(std::string const& unit,
-                                  std::vector<candidate> const& candidates,
-                                  unit_counts& load,
-                                  std::size_t most) const
+std::string
+participant::choose_successor(std::string const& unit,
+                              std::vector<candidate> const& candidates,
+                              unit_counts& load,
+                              std::size_t most) const
 {
-    for (auto const& it : wanted_order(unit, candidates))
+    for (auto const& it : preference_order(unit, candidates))
     {
         if (it != m_options.incarnation && load[it] < most)
         {
@@ -181,11 +183,11 @@
 
 std::vector<std::string> participant::surplus_units(double mean) const
 {
-    auto const load = counts();
+    auto const load = count_units();
     auto const own = owned_units();
-    auto const most = std::ceil(mean * m_options.most_load);
+    auto const most = std::ceil(mean * m_options.max_load_factor);
     auto const n = static_cast<double>(own.size());
-    auto const has_poor =
+    auto const has_underloaded =
         std::any_of(m_scanned_live.begin(), m_scanned_live.end(),
                     [&](candidate const& it)
                     {
@@ -193,15 +195,15 @@
                         auto const size =
                             found == load.end() ? 0 : found->second;
                         return static_cast<double>(size) <
-                               std::floor(mean / m_options.most_load);
+                               std::floor(mean / m_options.max_load_factor);
                     });
-    auto const keep = has_poor ? std::ceil(mean) : most;
+    auto const keep = has_underloaded ? std::ceil(mean) : most;
     if (n <= keep)
     {
         return {};
     }
     auto const surplus = static_cast<std::size_t>(n - keep);
-    auto const moved = std::max<std::size_t>(1, surplus / s_part_moved);
+    auto const moved = std::max<std::size_t>(1, surplus / s_surplus_divisor);
     std::vector<std::string> names;
     for (auto const& it : own)
     {
@@ -214,18 +216,18 @@
 }
 
 /// Few at a time, so that a cell whose instances come and go is not shuffled.
-void participant::move_surplus(base::instant now, actions& out)
+void participant::rebalance(base::instant now, actions& out)
 {
     // A release that meets an outage leaves its unit idle while it is tried.
-    auto const log_is_well =
-        m_log_right_until - now >= m_options.lease_duration * 3 / 4;
-    if (now - m_last_move < m_options.move_every || !m_releasing.empty() ||
-        m_active_from.empty() || !log_is_well)
+    auto const log_is_healthy =
+        m_log_lease_until - now >= m_options.lease_duration * 3 / 4;
+    if (now - m_last_rebalance < m_options.rebalance_interval ||
+        !m_releasing.empty() || m_active_from.empty() || !log_is_healthy)
     {
         return;
     }
-    m_last_move = now;
-    auto const candidates = takers(now);
+    m_last_rebalance = now;
+    auto const candidates = eligible_owners(now);
     if (candidates.size() < 2)
     {
         return;
@@ -237,13 +239,13 @@
             hand_over(unit, {}, out);
         }
     }
-    auto load = counts();
+    auto load = count_units();
     auto const mean = static_cast<double>(m_units.size()) /
                       static_cast<double>(candidates.size());
-    auto const room = static_cast<std::size_t>(std::ceil(mean));
+    auto const max_units = static_cast<std::size_t>(std::ceil(mean));
     for (auto const& unit : surplus_units(mean))
     {
-        auto const to = taker_of(unit, candidates, load, room);
+        auto const to = choose_successor(unit, candidates, load, max_units);
         if (!to.empty() && now >= m_active_from.at(unit))
         {
             hand_over(unit, to, out);
@@ -257,22 +259,22 @@
         m_table.next() - m_snapshot_through >= m_options.snapshot_records ||
         now - m_last_snapshot >= m_options.snapshot_interval;
     if (!is_due || !is_member() || has_pending<snapshot>() ||
-        !is_first("snapshot", now))
+        !is_preferred_for("snapshot", now))
     {
         return;
     }
     append(m_table.to_snapshot(), out);
 }
 
-void participant::part(base::instant now, actions& out)
+void participant::leave_when_ready(base::instant now, actions& out)
 {
     if (!is_member())
     {
         m_left = !has_pending<join>();
         return;
     }
-    auto const candidates = takers(now);
-    auto load = counts();
+    auto const candidates = eligible_owners(now);
+    auto load = count_units();
     for (auto const& [unit, from] : m_active_from)
     {
         // A claim that is not acted on yet is not released: its release would
@@ -281,13 +283,14 @@
         {
             continue;
         }
-        hand_over(unit, taker_of(unit, candidates, load, m_units.size() + 1),
+        hand_over(unit,
+                  choose_successor(unit, candidates, load, m_units.size() + 1),
                   out);
     }
     auto const has_active =
         std::any_of(m_active_from.begin(), m_active_from.end(),
                     [&](auto const& it) { return now >= it.second; });
-    auto const may_leave = now - m_stopping_since >= m_options.leave_after;
+    auto const may_leave = now - m_stopping_since >= m_options.min_leave_delay;
     if (may_leave && !has_active && m_unresolved.empty())
     {
         // Units still waiting to become active are left to be claimed.
--- a/libraries/ownership/participant_view.cpp
+++ b/libraries/ownership/participant_membership.cpp
@@ -7,7 +7,7 @@
 namespace berylhill::ownership
 {
 
-void participant::take_part(base::instant, actions& out)
+void participant::request_join(base::instant, actions& out)
 {
     if (is_member() || has_pending<join>())
     {
@@ -24,18 +24,18 @@
         return;
     }
     auto const& own = m_table.members().at(m_options.incarnation);
-    auto const is_unknown = [&](auto const& it)
+    auto const joined_later = [&](auto const& it)
     {
-        return it.second.joined > own.seen;
+        return it.second.join_offset > own.seen_through;
     };
     if (std::any_of(m_table.members().begin(), m_table.members().end(),
-                    is_unknown))
+                    joined_later))
     {
         append(seen{m_options.incarnation, m_table.next()}, out);
     }
 }
 
-void participant::remove_dropped(base::instant now, actions& out)
+void participant::remove_unlisted_members(base::instant now, actions& out)
 {
     if (!is_member() || has_pending<removal>())
     {
@@ -43,11 +43,11 @@
     }
     for (auto const& [incarnation, it] : m_table.members())
     {
-        auto const was_dropped = m_ever_listed.contains(it.instance) &&
-                                 !m_listed.contains(it.instance);
-        if (incarnation == m_options.incarnation || !was_dropped ||
-            is_heard(incarnation, now, m_options.isolated_after) ||
-            !is_first(incarnation, now))
+        auto const was_unlisted = m_ever_listed.contains(it.instance) &&
+                                  !m_listed.contains(it.instance);
+        if (incarnation == m_options.incarnation || !was_unlisted ||
+            is_alive(incarnation, now, m_options.isolated_suspect_after) ||
+            !is_preferred_for(incarnation, now))
         {
             continue;
         }
@@ -56,7 +56,7 @@
     }
 }
 
-bool participant::is_heard(std::string const& incarnation,
+bool participant::is_alive(std::string const& incarnation,
                            base::instant now,
                            base::duration within) const
 {
@@ -69,7 +69,7 @@
         return !is_suspected(incarnation, now);
     }
     auto const it = m_peers.find(incarnation);
-    auto const last = it == m_peers.end() ? m_started : it->second.heard;
+    auto const last = it == m_peers.end() ? m_started : it->second.last_heard;
     return now - last <= within;
 }
 
@@ -80,18 +80,18 @@
 bool participant::is_isolated(base::instant now) const
 {
     auto const others = m_watched.size();
-    auto const lately = m_options.suspect_after * 2 / 3;
+    auto const recent = m_options.suspect_after * 2 / 3;
     std::size_t heard = 0;
     for (auto const& it : m_watched)
     {
-        heard += is_heard(it, now, lately) ? 1 : 0;
+        heard += is_alive(it, now, recent) ? 1 : 0;
     }
-    return others >= m_options.fewest_to_be_isolated && heard * 2 < others;
+    return others >= m_options.min_peers_for_isolation && heard * 2 < others;
 }
 
-base::duration participant::suspicion_time(base::instant now) const
+base::duration participant::suspect_timeout(base::instant now) const
 {
-    return is_isolated(now) ? m_options.isolated_after
+    return is_isolated(now) ? m_options.isolated_suspect_after
                             : m_options.suspect_after;
 }
 
@@ -100,7 +100,7 @@
 /// is active, again and again. The others, who live, have claimed its units by
 /// the time that it may claim theirs, and it has read so. One that owned
 /// nothing cannot tell, and waits until the platform's list drops the others.
-bool participant::is_cut_off(base::instant now) const
+bool participant::is_probably_cut_off(base::instant now) const
 {
     if (!is_isolated(now))
     {
@@ -110,7 +110,8 @@
     {
         auto const it = m_peers.find(incarnation);
         return it != m_peers.end() &&
-               it->second.wrote > it->second.heard + m_options.suspect_after;
+               it->second.last_claim_read >
+                   it->second.last_heard + m_options.suspect_after;
     };
     return m_active_from.empty() ||
            std::any_of(m_watched.begin(), m_watched.end(), has_claimed);
@@ -121,20 +122,20 @@
 bool participant::is_suspected(std::string const& incarnation,
                                base::instant now) const
 {
-    auto const said = m_suspected.find(incarnation);
-    if (said == m_suspected.end())
+    auto const reports = m_suspected.find(incarnation);
+    if (reports == m_suspected.end())
     {
         return false;
     }
     auto const is_recent = [&](auto const& it)
     {
-        return now - it.second <= 2 * m_options.suspicion_every;
+        return now - it.second <= 2 * m_options.suspicion_interval;
     };
-    return std::count_if(said->second.begin(), said->second.end(), is_recent) >=
-           2;
+    return std::count_if(reports->second.begin(), reports->second.end(),
+                         is_recent) >= 2;
 }
 
-void participant::choose_watched()
+void participant::update_watchers()
 {
     std::vector<candidate> all;
     all.reserve(m_table.members().size());
@@ -143,7 +144,7 @@
         all.push_back({incarnation, it.instance, it.zone});
     }
     // Costs the square of the members' number, so only when they change.
-    if (all == m_watch_chosen_of)
+    if (all == m_watch_members)
     {
         return;
     }
@@ -151,7 +152,7 @@
     m_watchers.clear();
     for (auto const& it : all)
     {
-        for (auto const& watcher : watchers_of(it, all, m_options.watchers))
+        for (auto const& watcher : watchers_of(it, all, m_options.max_watchers))
         {
             if (watcher.incarnation == m_options.incarnation)
             {
@@ -165,7 +166,7 @@
     }
     std::erase_if(m_suspected, [&](auto const& it)
                   { return !m_table.members().contains(it.first); });
-    m_watch_chosen_of = std::move(all);
+    m_watch_members = std::move(all);
 }
 
 std::set<std::string> participant::heartbeat_targets() const
@@ -184,17 +185,19 @@
     return all;
 }
 
-void participant::tell_silent(base::instant now, actions& out)
+void participant::report_silent_peers(base::instant now, actions& out)
 {
-    auto const hears_all = m_watched.size() + 1 >= m_table.members().size();
-    if (hears_all || now - m_last_told < m_options.suspicion_every)
+    auto const watches_all_members =
+        m_watched.size() + 1 >= m_table.members().size();
+    if (watches_all_members ||
+        now - m_last_suspicion_at < m_options.suspicion_interval)
     {
         return;
     }
-    m_last_told = now;
+    m_last_suspicion_at = now;
     for (auto const& silent : m_watched)
     {
-        if (is_heard(silent, now, m_options.suspect_after))
+        if (is_alive(silent, now, m_options.suspect_after))
         {
             continue;
         }
@@ -211,11 +214,11 @@
 
 std::vector<candidate> participant::live_members(base::instant now) const
 {
-    auto const within = suspicion_time(now);
+    auto const within = suspect_timeout(now);
     std::vector<candidate> found;
     for (auto const& [incarnation, it] : m_table.members())
     {
-        if (is_heard(incarnation, now, within))
+        if (is_alive(incarnation, now, within))
         {
             found.push_back({incarnation, it.instance, it.zone});
         }
@@ -225,7 +228,7 @@
 
 /// Who may be given a unit. Only processes on the platform's list, which is
 /// what `all_listed_answered` rests on.
-std::vector<candidate> participant::takers(base::instant now) const
+std::vector<candidate> participant::eligible_owners(base::instant now) const
 {
     auto found = live_members(now);
     std::erase_if(found,
@@ -241,13 +244,14 @@
     return found;
 }
 
-bool participant::is_first(std::string const& what, base::instant now) const
+bool participant::is_preferred_for(std::string const& what,
+                                   base::instant now) const
 {
-    auto const order = wanted_order(what, live_members(now));
+    auto const order = preference_order(what, live_members(now));
     return !order.empty() && order.front() == m_options.incarnation;
 }
 
-unit_counts participant::counts() const
+unit_counts participant::count_units() const
 {
     unit_counts load;
     for (auto const& [name, it] : m_table.units())
--- a/libraries/ownership/record.cpp
+++ b/libraries/ownership/record.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-struct writer
+struct json_writer
 {
     Json::Value operator()(join const& it) const
     {
@@ -67,7 +67,7 @@
     }
 };
 
-std::string text_at(Json::Value const& it, char const* name)
+std::string string_at(Json::Value const& it, char const* name)
 {
     return it[name].isString() ? it[name].asString() : std::string{};
 }
@@ -81,7 +81,7 @@
 
 Json::Value to_json(record const& it)
 {
-    return std::visit(writer{}, it);
+    return std::visit(json_writer{}, it);
 }
 
 base::result<record> record_from(Json::Value const& it)
@@ -91,11 +91,12 @@
         return base::fail(base::failure_code::invalid,
                           "an ownership record is an object");
     }
-    auto const type = text_at(it, "type");
-    auto const incarnation = text_at(it, "incarnation");
+    auto const type = string_at(it, "type");
+    auto const incarnation = string_at(it, "incarnation");
     if (type == "join")
     {
-        return join{incarnation, text_at(it, "instance"), text_at(it, "zone")};
+        return join{incarnation, string_at(it, "instance"),
+                    string_at(it, "zone")};
     }
     if (type == "leave")
     {
@@ -111,17 +112,17 @@
     }
     if (type == "claim")
     {
-        return claim{text_at(it, "unit"), incarnation,
+        return claim{string_at(it, "unit"), incarnation,
                      number_at(it, "follows")};
     }
     if (type == "release")
     {
-        return release{text_at(it, "unit"), incarnation, number_at(it, "epoch"),
-                       text_at(it, "successor")};
+        return release{string_at(it, "unit"), incarnation,
+                       number_at(it, "epoch"), string_at(it, "successor")};
     }
     if (type == "snapshot")
     {
-        return snapshot{number_at(it, "through"), text_at(it, "table")};
+        return snapshot{number_at(it, "through"), string_at(it, "table")};
     }
     return base::fail(base::failure_code::invalid,
                       "unknown ownership record '" + type + "'");
--- a/libraries/ownership/spread.cpp
+++ b/libraries/ownership/unit_distribution.cpp
@@ -1,4 +1,4 @@
-#include <ownership/spread.hpp>
+#include <ownership/unit_distribution.hpp>
 
 #include <base/hash.hpp>
 
@@ -8,8 +8,9 @@
 namespace berylhill::ownership
 {
 
-std::vector<std::string> wanted_order(std::string_view unit,
-                                      std::vector<candidate> const& candidates)
+std::vector<std::string>
+preference_order(std::string_view unit,
+                 std::vector<candidate> const& candidates)
 {
     std::map<std::string, std::map<std::string, std::string>> by_zone;
     for (auto const& it : candidates)
@@ -60,7 +61,7 @@
     std::map<std::string, std::size_t> taken;
     std::map<std::pair<std::size_t, std::size_t>, candidate> rounds;
     std::size_t place = 0;
-    for (auto const& name : wanted_order(watched.instance, others))
+    for (auto const& name : preference_order(watched.instance, others))
     {
         auto const& it = by_incarnation[name];
         rounds.emplace(std::pair{taken[it.zone]++, place++}, it);
@@ -76,14 +77,15 @@
     return found;
 }
 
-std::size_t most_units(std::size_t units, std::size_t n, double most_load)
+std::size_t
+max_units_per_process(std::size_t units, std::size_t n, double max_load_factor)
 {
     if (n == 0)
     {
         return units;
     }
     auto const mean = static_cast<double>(units) / static_cast<double>(n);
-    return static_cast<std::size_t>(std::ceil(mean * most_load));
+    return static_cast<std::size_t>(std::ceil(mean * max_load_factor));
 }
 
 } // namespace berylhill::ownership
--- a/libraries/ownership/spread.hpp
+++ b/libraries/ownership/unit_distribution.hpp
@@ -23,7 +23,8 @@
 /// rendezvous over zones first, so that units spread over zones whatever their
 /// sizes, then over the instances of a zone. Equal in every process.
 [[nodiscard]] std::vector<std::string>
-wanted_order(std::string_view unit, std::vector<candidate> const& candidates);
+preference_order(std::string_view unit,
+                 std::vector<candidate> const& candidates);
 
 /// Who watches the process for silence: at most `most` of the others, from as
 /// many zones as there are, so that a zone that is lost takes few of them.
@@ -38,6 +39,6 @@
 
 /// The most units that one of `n` processes should own.
 [[nodiscard]] std::size_t
-most_units(std::size_t units, std::size_t n, double most_load);
+max_units_per_process(std::size_t units, std::size_t n, double max_load_factor);
 
 } // namespace berylhill::ownership
--- a/tests/ownership/claim_table_test.cpp
+++ b/tests/ownership/claim_table_test.cpp
@@ -28,7 +28,7 @@
 {
     char const* name;
     record it;
-    bool counts;
+    bool takes_effect;
 };
 
 std::ostream& operator<<(std::ostream& out, attempt const& it)
@@ -52,7 +52,7 @@
 BOOST_DATA_TEST_CASE(which_records_count, s_attempts, it)
 {
     auto table = example();
-    BOOST_TEST(table.apply(3, it.it).counted == it.counts);
+    BOOST_TEST(table.apply(3, it.it).effective == it.takes_effect);
 }
 
 // Two entries claim a dead entry's rack at once. Both records are in the log;
@@ -62,8 +62,8 @@
     auto it = example();
     it.apply(3, join{"c", "entry-3", "z"});
     it.apply(4, seen{"a", 4});
-    BOOST_TEST(it.apply(5, claim{"u", "c", 2}).counted);
-    BOOST_TEST(!it.apply(6, claim{"u", "b", 2}).counted);
+    BOOST_TEST(it.apply(5, claim{"u", "c", 2}).effective);
+    BOOST_TEST(!it.apply(6, claim{"u", "b", 2}).effective);
     BOOST_TEST(it.owner_of("u")->incarnation == "c");
     BOOST_TEST(it.owner_of("u")->epoch == 5);
 }
@@ -82,7 +82,7 @@
 {
     auto it = example();
     auto const done = it.apply(3, release{"u", "a", 2, "b"});
-    BOOST_TEST(done.counted);
+    BOOST_TEST(done.effective);
     BOOST_TEST(done.unit_was_free);
     BOOST_TEST(it.owner_of("u")->incarnation == "b");
     BOOST_TEST(it.owner_of("u")->epoch == 3);
--- a/tests/ownership/exhaustive_test.cpp
+++ b/tests/ownership/exhaustive_test.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "system_state.hpp"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -15,26 +15,27 @@
 {
 
 /// Above every case here; reaching it is a failure, not a pass.
-constexpr std::size_t s_most_states = 1'000'000;
+constexpr std::size_t s_max_states = 1'000'000;
 
-struct findings
+struct exploration_result
 {
     std::size_t states{0};
-    bool is_whole{true};
+    bool is_complete{true};
     /// The shortest run that ends with two processes acting.
-    std::vector<std::string> breaking_run;
+    std::vector<std::string> counterexample;
     /// Who acted in any state, and until when the first owner did.
     std::set<std::string> acted;
     std::int64_t owner_until{0};
 };
 
-struct visited
+struct visited_state
 {
     std::size_t parent{0};
     std::string label;
 };
 
-std::vector<std::string> run_to(std::vector<visited> const& all, std::size_t i)
+std::vector<std::string> path_to(std::vector<visited_state> const& all,
+                                 std::size_t i)
 {
     std::vector<std::string> run;
     for (; i != 0; i = all[i].parent)
@@ -44,7 +45,7 @@
     return run;
 }
 
-void note_acting(world const& it, findings& found)
+void record_acting(system_state const& it, exploration_result& found)
 {
     for (auto const& name : it.acting())
     {
@@ -57,138 +58,145 @@
 }
 
 /// Breadth first, each state once, so that a breaking run is a shortest one.
-findings explore(world const& start)
+exploration_result explore(system_state const& start)
 {
-    std::vector<visited> all{{0, ""}};
+    std::vector<visited_state> all{{0, ""}};
     std::set<state_digester::digest> known{start.digest()};
-    std::vector<std::pair<std::size_t, world>> frontier{{0, start}};
-    findings it;
-    while (!frontier.empty() && it.breaking_run.empty())
+    std::vector<std::pair<std::size_t, system_state>> frontier{{0, start}};
+    exploration_result it;
+    while (!frontier.empty() && it.counterexample.empty())
     {
-        std::vector<std::pair<std::size_t, world>> next;
+        std::vector<std::pair<std::size_t, system_state>> next;
         for (auto const& [parent, state] : frontier)
         {
-            state.each_step(
-                [&, from = parent](std::string const& label, world const& to)
+            state.for_each_step(
+                [&, from = parent](std::string const& label,
+                                   system_state const& to)
                 {
-                    if (!it.breaking_run.empty() ||
+                    if (!it.counterexample.empty() ||
                         !known.insert(to.digest()).second)
                     {
                         return;
                     }
                     all.push_back({from, label});
-                    note_acting(to, it);
+                    record_acting(to, it);
                     if (to.acting().size() > 1)
                     {
-                        it.breaking_run = run_to(all, all.size() - 1);
+                        it.counterexample = path_to(all, all.size() - 1);
                     }
                     next.emplace_back(all.size() - 1, to);
                 });
         }
-        it.is_whole = all.size() < s_most_states;
-        frontier = it.is_whole ? std::move(next)
-                               : std::vector<std::pair<std::size_t, world>>{};
+        it.is_complete = all.size() < s_max_states;
+        frontier = it.is_complete
+                       ? std::move(next)
+                       : std::vector<std::pair<std::size_t, system_state>>{};
     }
     it.states = all.size();
     return it;
 }
 
-struct exploration
+struct exploration_case
 {
     char const* name;
-    world::bounds limits;
+    system_state::bounds limits;
 };
 
-std::ostream& operator<<(std::ostream& out, exploration const& it)
+std::ostream& operator<<(std::ostream& out, exploration_case const& it)
 {
     return out << it.name;
 }
 
-world::bounds two_processes()
+system_state::bounds two_processes()
 {
-    world::bounds it;
+    system_state::bounds it;
     it.horizon = 6;
     it.all_tick = true;
     return it;
 }
 
-world::bounds joining()
+system_state::bounds joining()
 {
-    world::bounds it;
+    system_state::bounds it;
     it.horizon = 5;
-    it.enters = world::joiner::starts;
-    it.owner_is_cut_off = true;
+    it.third_process = system_state::third_process_state::starts;
+    it.owner_cannot_read = true;
     return it;
 }
 
-world::bounds dying()
+system_state::bounds dying()
 {
-    world::bounds it;
+    system_state::bounds it;
     it.horizon = 5;
-    it.enters = world::joiner::joined_unseen;
-    it.owner_is_cut_off = true;
+    it.third_process =
+        system_state::third_process_state::joined_unknown_to_owner;
+    it.owner_cannot_read = true;
     it.deaths = true;
     return it;
 }
 
 template <class Change>
-world::bounds with(world::bounds it, Change const& change)
+system_state::bounds with(system_state::bounds it, Change const& change)
 {
     change(it);
     return it;
 }
 
-std::array const s_kept{
-    exploration{"two processes, one refused append",
-                with(two_processes(), [](auto& it) { it.refusals = 1; })},
-    exploration{"two processes, a longer right", with(two_processes(),
-                                                      [](auto& it)
-                                                      {
-                                                          it.right = 4;
-                                                          it.horizon = 7;
-                                                      })},
-    exploration{"two processes, a planned stop", with(two_processes(),
-                                                      [](auto& it)
-                                                      {
-                                                          it.horizon = 6;
-                                                          it.stops = "e";
-                                                      })},
-    exploration{"a joiner while the owner is cut off", joining()},
-    exploration{"a member takes over and hands on to a joiner",
-                with(dying(),
-                     [](auto& it)
-                     {
-                         it.deaths = false;
-                         it.stops = "p";
-                     })},
-    exploration{"a member dies and is dropped from the list", dying()},
+std::array const s_safe_cases{
+    exploration_case{"two processes, one refused append",
+                     with(two_processes(), [](auto& it) { it.refusals = 1; })},
+    exploration_case{"two processes, a longer right",
+                     with(two_processes(),
+                          [](auto& it)
+                          {
+                              it.lease_duration = 4;
+                              it.horizon = 7;
+                          })},
+    exploration_case{"two processes, a planned stop", with(two_processes(),
+                                                           [](auto& it)
+                                                           {
+                                                               it.horizon = 6;
+                                                               it.stops = "e";
+                                                           })},
+    exploration_case{"a joiner while the owner is cut off", joining()},
+    exploration_case{"a member takes over and hands on to a joiner",
+                     with(dying(),
+                          [](auto& it)
+                          {
+                              it.deaths = false;
+                              it.stops = "p";
+                          })},
+    exploration_case{"a member dies and is dropped from the list", dying()},
 };
 
-std::array const s_broken{
-    exploration{"whoever answers may vouch",
-                with(two_processes(),
-                     [](auto& it)
-                     { it.rules.vouch = vouch_rule::whoever_answers; })},
-    exploration{"unresolved claims are ignored",
-                with(joining(),
-                     [](auto& it)
-                     { it.rules.unresolved = unresolved_rule::is_ignored; })},
-    exploration{"a joiner claims at once",
-                with(joining(),
-                     [](auto& it)
-                     { it.rules.joiners = joiner_rule::claim_at_once; })},
-    exploration{"a dropped member is simply exempt",
-                with(dying(),
-                     [](auto& it)
-                     { it.rules.dropped = dropped_rule::is_exempt; })},
+std::array const s_unsafe_cases{
+    exploration_case{"whoever answers may vouch",
+                     with(two_processes(),
+                          [](auto& it)
+                          { it.rules.vouch = vouch_rule::any_member; })},
+    exploration_case{"unresolved claims are ignored",
+                     with(joining(),
+                          [](auto& it) {
+                              it.rules.unresolved = unresolved_rule::is_ignored;
+                          })},
+    exploration_case{"a joiner claims at once",
+                     with(joining(),
+                          [](auto& it)
+                          { it.rules.joiners = joiner_rule::claim_at_once; })},
+    exploration_case{"a dropped member is simply exempt",
+                     with(dying(),
+                          [](auto& it) {
+                              it.rules.removed_members =
+                                  removed_member_rule::exempt;
+                          })},
 };
 
-void print(exploration const& of, findings const& it)
+void print(exploration_case const& of, exploration_result const& it)
 {
     auto text = std::string{of.name} + ": " + std::to_string(it.states) +
                 " states, " +
-                (it.breaking_run.empty() ? "holds" : "breaks so:");
-    for (auto const& label : it.breaking_run)
+                (it.counterexample.empty() ? "holds" : "breaks so:");
+    for (auto const& label : it.counterexample)
     {
         text += "\n    " + label;
     }
@@ -204,25 +212,25 @@
 // the log while another's claim, delayed or unseen, has become active. Every
 // order of reads, appends, vouches, joins, deaths and stops up to the bound is
 // tried on the real classes; an entry that takes no step is one that is paused.
-BOOST_DATA_TEST_CASE(never_do_two_processes_act_for_one_unit, s_kept, it)
+BOOST_DATA_TEST_CASE(never_do_two_processes_act_for_one_unit, s_safe_cases, it)
 {
-    auto const found = explore(world{it.limits});
+    auto const found = explore(system_state{it.limits});
     print(it, found);
-    BOOST_TEST(found.is_whole);
-    BOOST_TEST(found.breaking_run.empty());
+    BOOST_TEST(found.is_complete);
+    BOOST_TEST(found.counterexample.empty());
     // The bound is wide enough to matter: the owner went on past its first
     // right, and another process took over.
-    BOOST_TEST(found.owner_until > 1 + it.limits.right);
+    BOOST_TEST(found.owner_until > 1 + it.limits.lease_duration);
     BOOST_TEST(found.acted.size() > 1U);
 }
 
 // The same with one of the rules taken away: each has its breaking run, so
 // none of them is there for nothing, and the exploration would see a fault.
-BOOST_DATA_TEST_CASE(each_rule_is_needed, s_broken, it)
+BOOST_DATA_TEST_CASE(each_rule_is_needed, s_unsafe_cases, it)
 {
-    auto const found = explore(world{it.limits});
+    auto const found = explore(system_state{it.limits});
     print(it, found);
-    BOOST_TEST(!found.breaking_run.empty());
+    BOOST_TEST(!found.counterexample.empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/ownership/participant_test.cpp
+++ b/tests/ownership/participant_test.cpp
@@ -34,7 +34,7 @@
     {
         auto const n = it.acted_on_by(i).size();
         BOOST_TEST(n > 0U);
-        BOOST_TEST(n <= most_units(64, 9, 1.25));
+        BOOST_TEST(n <= max_units_per_process(64, 9, 1.25));
     }
     BOOST_TEST(it.conflicts() == 0U);
 }
@@ -84,13 +84,13 @@
 BOOST_AUTO_TEST_CASE(one_watchers_word_is_not_enough)
 {
     auto it = settled_cell({.instances = 24, .zones = 4, .units = 72});
-    auto const told = it.at(0).own_heartbeat().incarnation;
+    auto const watcher = it.at(0).own_heartbeat().incarnation;
     for (int n = 0; n < 20; ++n)
     {
         for (std::size_t i = 1; i < it.size(); ++i)
         {
             (void)it.at(i).on_suspicion(
-                {told, it.at(5).own_heartbeat().incarnation}, it.now());
+                {watcher, it.at(5).own_heartbeat().incarnation}, it.now());
         }
         it.run(250ms);
     }
--- a/tests/ownership/simulated_cell.cpp
+++ b/tests/ownership/simulated_cell.cpp
@@ -5,15 +5,15 @@
 namespace berylhill::ownership
 {
 
-simulated_cell::simulated_cell(settings of)
-    : m_settings{of}
+simulated_cell::simulated_cell(settings given)
+    : m_settings{given}
 {
-    for (std::size_t n = 0; n < of.units; ++n)
+    for (std::size_t n = 0; n < given.units; ++n)
     {
         m_units.insert("unit-" + std::to_string(n));
     }
-    m_nodes.resize(of.instances);
-    for (std::size_t i = 0; i < of.instances; ++i)
+    m_nodes.resize(given.instances);
+    for (std::size_t i = 0; i < given.instances; ++i)
     {
         m_nodes[i].instance = "entry-" + std::to_string(i);
         create(i);
@@ -87,22 +87,22 @@
     {
         if (auto const* append = std::get_if<append_record>(&it))
         {
-            m_appends.push_back({m_now + m_settings.append_takes, i, *append,
+            m_appends.push_back({m_now + m_settings.append_duration, i, *append,
                                  m_nodes[i].starts});
         }
         else if (auto const* ask = std::get_if<send_vouch_request>(&it))
         {
-            m_letters.push_back({i, ask->to, it});
+            m_messages.push_back({i, ask->to, it});
             ++m_vouch_messages;
         }
         else if (auto const* answer = std::get_if<send_vouch_answer>(&it))
         {
-            m_letters.push_back({i, answer->to, it});
+            m_messages.push_back({i, answer->to, it});
             ++m_vouch_messages;
         }
-        else if (auto const* word = std::get_if<send_suspicion>(&it))
+        else if (auto const* suspected = std::get_if<send_suspicion>(&it))
         {
-            m_letters.push_back({i, word->to, it});
+            m_messages.push_back({i, suspected->to, it});
         }
         else
         {
@@ -111,7 +111,7 @@
     }
 }
 
-void simulated_cell::write_due()
+void simulated_cell::complete_appends()
 {
     while (!m_appends.empty() && m_appends.front().due <= m_now)
     {
@@ -133,15 +133,16 @@
 
 void simulated_cell::deliver()
 {
-    auto const letters = std::move(m_letters);
-    m_letters.clear();
-    for (auto const& it : letters)
+    auto const messages = std::move(m_messages);
+    m_messages.clear();
+    for (auto const& it : messages)
     {
         for (std::size_t i = 0; i < m_nodes.size(); ++i)
         {
             auto& node = m_nodes[i];
-            auto const is_lost = node.cut || m_nodes[it.from].cut;
-            if (node.instance != it.to || !node.alive || node.paused || is_lost)
+            auto const is_unreachable = node.cut || m_nodes[it.from].cut;
+            if (node.instance != it.to || !node.alive || node.paused ||
+                is_unreachable)
             {
                 continue;
             }
@@ -150,9 +151,10 @@
                 perform(i, node.it->on_vouch_request(ask->message, m_now));
                 continue;
             }
-            if (auto const* word = std::get_if<send_suspicion>(&it.message))
+            if (auto const* suspected =
+                    std::get_if<send_suspicion>(&it.message))
             {
-                perform(i, node.it->on_suspicion(word->message, m_now));
+                perform(i, node.it->on_suspicion(suspected->message, m_now));
                 continue;
             }
             auto const& answer = std::get<send_vouch_answer>(it.message);
@@ -161,20 +163,20 @@
     }
 }
 
-bool simulated_cell::every(base::duration period, std::size_t i) const
+bool simulated_cell::is_due(base::duration period, std::size_t i) const
 {
     auto const shift = m_settings.step * static_cast<std::int64_t>(i);
     return (m_now.time_since_epoch() + shift) % period < m_settings.step;
 }
 
-void simulated_cell::serve(std::size_t i)
+void simulated_cell::run_process(std::size_t i)
 {
     auto& node = m_nodes[i];
     if (!node.alive || node.paused)
     {
         return;
     }
-    if (every(m_settings.beat_every, i))
+    if (is_due(m_settings.heartbeat_interval, i))
     {
         auto const targets = node.it->heartbeat_targets();
         for (std::size_t to = 0; to < m_nodes.size(); ++to)
@@ -192,7 +194,7 @@
         }
         perform(i, node.it->on_entry_list(list(), m_now));
     }
-    if (m_log_up && every(m_settings.read_every, i))
+    if (m_log_up && is_due(m_settings.read_interval, i))
     {
         std::vector<std::pair<std::int64_t, record>> records;
         auto const end = static_cast<std::int64_t>(m_log.size());
@@ -203,7 +205,7 @@
         node.next = end;
         perform(i, node.it->on_log_read(records, end, m_now, m_now));
     }
-    if (every(m_settings.tick_every, i))
+    if (is_due(m_settings.tick_interval, i))
     {
         perform(i, node.it->tick(m_now));
     }
@@ -214,17 +216,17 @@
     for (auto const until = m_now + span; m_now < until;
          m_now += m_settings.step)
     {
-        write_due();
+        complete_appends();
         deliver();
         for (std::size_t i = 0; i < m_nodes.size(); ++i)
         {
-            serve(i);
+            run_process(i);
         }
-        observe();
+        record_gaps();
     }
 }
 
-void simulated_cell::observe()
+void simulated_cell::record_gaps()
 {
     for (auto const& unit : m_units)
     {
--- a/tests/ownership/simulated_cell.hpp
+++ b/tests/ownership/simulated_cell.hpp
@@ -25,14 +25,14 @@
         std::size_t zones{3};
         std::size_t units{64};
         base::duration step{std::chrono::milliseconds{10}};
-        base::duration append_takes{std::chrono::milliseconds{30}};
-        base::duration read_every{std::chrono::milliseconds{50}};
-        base::duration tick_every{std::chrono::milliseconds{100}};
-        base::duration beat_every{std::chrono::milliseconds{300}};
+        base::duration append_duration{std::chrono::milliseconds{30}};
+        base::duration read_interval{std::chrono::milliseconds{50}};
+        base::duration tick_interval{std::chrono::milliseconds{100}};
+        base::duration heartbeat_interval{std::chrono::milliseconds{300}};
         base::duration list_lag{std::chrono::seconds{15}};
     };
 
-    explicit simulated_cell(settings of);
+    explicit simulated_cell(settings given);
 
     void run(base::duration span);
 
@@ -98,7 +98,7 @@
     }
 
 private:
-    struct entry_process
+    struct simulated_process
     {
         std::unique_ptr<participant> it;
         std::string instance;
@@ -110,14 +110,14 @@
         /// The list shows it until then, if it is not alive.
         base::instant listed_until{};
     };
-    struct under_way
+    struct pending_append
     {
         base::instant due;
         std::size_t node{0};
         append_record entry;
         int start{0};
     };
-    struct letter
+    struct network_message
     {
         std::size_t from{0};
         std::string to;
@@ -126,20 +126,20 @@
 
     void create(std::size_t i);
     void perform(std::size_t i, actions const& list);
-    void write_due();
+    void complete_appends();
     void deliver();
-    void serve(std::size_t i);
-    void observe();
-    [[nodiscard]] bool every(base::duration period, std::size_t i) const;
+    void run_process(std::size_t i);
+    void record_gaps();
+    [[nodiscard]] bool is_due(base::duration period, std::size_t i) const;
     [[nodiscard]] std::set<std::string> list() const;
 
     settings m_settings;
     base::instant m_now{std::chrono::seconds{1}};
-    std::vector<entry_process> m_nodes;
+    std::vector<simulated_process> m_nodes;
     std::set<std::string> m_units;
     std::vector<record> m_log;
-    std::deque<under_way> m_appends;
-    std::vector<letter> m_letters;
+    std::deque<pending_append> m_appends;
+    std::vector<network_message> m_messages;
     bool m_log_up{true};
     std::map<std::string, base::instant> m_last_acted;
     std::map<std::string, base::duration> m_gaps;
--- a/tests/ownership/state_digester.hpp
+++ b/tests/ownership/state_digester.hpp
@@ -106,11 +106,11 @@
     }
     void add(owner const& it)
     {
-        add_all(it.incarnation, it.epoch, it.changed, it.released);
+        add_all(it.incarnation, it.epoch, it.last_change, it.released);
     }
     void add(member const& it)
     {
-        add_all(it.instance, it.joined, it.seen);
+        add_all(it.instance, it.join_offset, it.seen_through);
     }
     void add(vouch_request const& it)
     {
@@ -131,7 +131,7 @@
     {
         add_all(it.m_table, it.m_releasing, it.m_doubtful, it.m_listed,
                 it.m_ever_listed, it.m_stopping, it.m_left);
-        add(std::max(it.m_log_right_until, now));
+        add(std::max(it.m_log_lease_until, now));
         add(std::max(it.m_vouched_until, now));
         for (auto const& [ticket, own] : it.m_unresolved)
         {
@@ -151,7 +151,7 @@
         }
         for (auto const& [name, peer] : it.m_peers)
         {
-            add_all(name, std::max(peer.heard, now));
+            add_all(name, std::max(peer.last_heard, now));
         }
     }
 
--- a/tests/ownership/world.cpp
+++ b/tests/ownership/system_state.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "system_state.hpp"
 
 #include <algorithm>
 
@@ -12,21 +12,21 @@
 constexpr base::duration s_never = std::chrono::hours{1};
 
 participant_options options_of(std::string const& name,
-                               world::bounds const& limits)
+                               system_state::bounds const& limits)
 {
     participant_options it;
     it.incarnation = name;
     it.instance = name;
     it.zone = "z";
-    it.lease_duration = base::duration{limits.right};
+    it.lease_duration = base::duration{limits.lease_duration};
     it.clock_margin = {};
     // No heartbeats: each process claims as soon as a tick lets it.
     it.suspect_after = {};
-    it.isolated_after = {};
-    it.fewest_to_be_isolated = 100;
-    it.claim_patience = {};
-    it.leave_after = {};
-    it.move_every = s_never;
+    it.isolated_suspect_after = {};
+    it.min_peers_for_isolation = 100;
+    it.claim_delay_step = {};
+    it.min_leave_delay = {};
+    it.rebalance_interval = s_never;
     it.snapshot_interval = s_never;
     it.rules = limits.rules;
     return it;
@@ -34,23 +34,23 @@
 
 } // namespace
 
-world::world(bounds limits)
+system_state::system_state(bounds limits)
     : m_bounds{std::move(limits)}
     , m_log{std::make_shared<std::vector<record>>()}
 {
     start("e");
-    settle_all(0);
+    settle(0);
     start("p");
-    settle_all(0);
-    if (m_bounds.enters == joiner::joined_unseen)
+    settle(0);
+    if (m_bounds.third_process == third_process_state::joined_unknown_to_owner)
     {
         start("j");
-        settle_all(1);
+        settle(1);
     }
     m_claims = 0;
 }
 
-world::process& world::edit(std::size_t i)
+system_state::process& system_state::edit(std::size_t i)
 {
     auto const copy = std::make_shared<process>(*m_processes[i]);
     copy->digested_at = -1;
@@ -58,7 +58,7 @@
     return *copy;
 }
 
-void world::start(std::string const& name)
+void system_state::start(std::string const& name)
 {
     m_processes.push_back(std::make_shared<process>(
         process{name, participant{options_of(name, m_bounds), at(m_now)}}));
@@ -69,7 +69,7 @@
     perform(i, it.set_units({s_unit}, at(m_now)));
 }
 
-void world::settle_all(std::size_t first)
+void system_state::settle(std::size_t first)
 {
     for (int round = 0; round < 4; ++round)
     {
@@ -84,7 +84,7 @@
     }
 }
 
-void world::perform(std::size_t i, actions const& list)
+void system_state::perform(std::size_t i, actions const& list)
 {
     for (auto const& it : list)
     {
@@ -94,18 +94,18 @@
         }
         else if (auto const* ask = std::get_if<send_vouch_request>(&it))
         {
-            std::erase_if(m_letters,
-                          [&](letter const& old) {
+            std::erase_if(m_messages,
+                          [&](network_message const& old) {
                               return old.asker == ask->message.from &&
                                      old.round != ask->message.round;
                           });
-            m_letters.push_back(
+            m_messages.push_back(
                 {ask->to, ask->message.from, ask->message.round, ask->message});
         }
         else if (auto const* answer = std::get_if<send_vouch_answer>(&it))
         {
-            m_letters.push_back({answer->to, answer->to, answer->message.round,
-                                 answer->message});
+            m_messages.push_back({answer->to, answer->to, answer->message.round,
+                                  answer->message});
         }
         else if (std::holds_alternative<fetch_entry_list>(it) &&
                  m_bounds.deaths)
@@ -116,17 +116,17 @@
             m_fetches.push_back({i, m_now});
         }
     }
-    drop_stale_letters();
+    drop_stale_messages();
 }
 
-void world::drop_stale_letters()
+void system_state::drop_stale_messages()
 {
     for (std::size_t i = 0; i < m_processes.size(); ++i)
     {
         auto const& it = *m_processes[i];
         if (!state_digester::is_asking(it.it))
         {
-            std::erase_if(m_letters, [&](letter const& old)
+            std::erase_if(m_messages, [&](network_message const& old)
                           { return old.asker == it.name; });
             std::erase_if(m_fetches,
                           [&](fetch const& old) { return old.process == i; });
@@ -134,7 +134,7 @@
     }
 }
 
-void world::read(std::size_t i)
+void system_state::read(std::size_t i)
 {
     auto& it = edit(i);
     std::vector<std::pair<std::int64_t, record>> records;
@@ -147,12 +147,12 @@
     perform(i, it.it.on_log_read(records, end, at(m_now), at(m_now)));
 }
 
-void world::tick(std::size_t i)
+void system_state::tick(std::size_t i)
 {
     perform(i, edit(i).it.tick(at(m_now)));
 }
 
-void world::take_effect(std::size_t i)
+void system_state::take_effect(std::size_t i)
 {
     auto log = std::make_shared<std::vector<record>>(*m_log);
     log->push_back(m_appends[i].entry.value);
@@ -165,7 +165,7 @@
     m_appends.erase(m_appends.begin() + static_cast<std::ptrdiff_t>(i));
 }
 
-void world::refuse(std::size_t i)
+void system_state::refuse(std::size_t i)
 {
     auto const it = m_appends[i];
     m_appends.erase(m_appends.begin() + static_cast<std::ptrdiff_t>(i));
@@ -176,10 +176,10 @@
                                                   at(m_now)));
 }
 
-void world::deliver(std::size_t i)
+void system_state::deliver(std::size_t i)
 {
-    auto const it = m_letters[i];
-    m_letters.erase(m_letters.begin() + static_cast<std::ptrdiff_t>(i));
+    auto const it = m_messages[i];
+    m_messages.erase(m_messages.begin() + static_cast<std::ptrdiff_t>(i));
     for (std::size_t n = 0; n < m_processes.size(); ++n)
     {
         if (m_processes[n]->name != it.to || m_processes[n]->dead)
@@ -197,7 +197,7 @@
     }
 }
 
-void world::answer_fetch(std::size_t i)
+void system_state::answer_fetch(std::size_t i)
 {
     auto const it = m_fetches[i];
     m_fetches.erase(m_fetches.begin() + static_cast<std::ptrdiff_t>(i));
@@ -206,24 +206,27 @@
 }
 
 template <class Change>
-void world::visit_changed(std::string const& label,
-                          visitor const& visit,
-                          Change const& change) const
+void system_state::visit_changed(std::string const& label,
+                                 visitor const& visit,
+                                 Change const& change) const
 {
     auto next = *this;
     change(next);
     visit("t=" + std::to_string(m_now) + " " + label, next);
 }
 
-void world::each_step(visitor const& visit) const
+void system_state::for_each_step(visitor const& visit) const
 {
     if (m_now < m_bounds.horizon)
     {
-        visit_changed("time passes", visit, [](world& it) { ++it.m_now; });
+        visit_changed("time passes", visit,
+                      [](system_state& it) { ++it.m_now; });
     }
-    if (m_bounds.enters == joiner::starts && m_processes.size() < 3)
+    if (m_bounds.third_process == third_process_state::starts &&
+        m_processes.size() < 3)
     {
-        visit_changed("j starts", visit, [](world& it) { it.start("j"); });
+        visit_changed("j starts", visit,
+                      [](system_state& it) { it.start("j"); });
     }
     for (std::size_t i = 0; i < m_processes.size(); ++i)
     {
@@ -236,33 +239,34 @@
     visit_network(visit);
 }
 
-void world::visit_process(std::size_t i, visitor const& visit) const
+void system_state::visit_process(std::size_t i, visitor const& visit) const
 {
     auto const& name = m_processes[i]->name;
-    if (!m_bounds.owner_is_cut_off || i != 0)
+    if (!m_bounds.owner_cannot_read || i != 0)
     {
         visit_changed(name + " reads the log to its end", visit,
-                      [&](world& it) { it.read(i); });
+                      [&](system_state& it) { it.read(i); });
     }
     if (m_bounds.all_tick || i == 0)
     {
-        visit_changed(name + " ticks", visit, [&](world& it) { it.tick(i); });
+        visit_changed(name + " ticks", visit,
+                      [&](system_state& it) { it.tick(i); });
     }
     auto const is_stopping = m_processes[i]->it.own_heartbeat().leaving;
     if (m_bounds.stops == name && !is_stopping)
     {
         visit_changed(name + " is told to stop", visit,
-                      [&](world& it)
+                      [&](system_state& it)
                       { it.perform(i, it.edit(i).it.stop(at(m_now))); });
     }
     if (m_bounds.deaths && name == "p")
     {
         visit_changed(name + " dies", visit,
-                      [&](world& it) { it.edit(i).dead = true; });
+                      [&](system_state& it) { it.edit(i).dead = true; });
     }
 }
 
-void world::visit_log(visitor const& visit) const
+void system_state::visit_log(visitor const& visit) const
 {
     for (std::size_t i = 0; i < m_appends.size(); ++i)
     {
@@ -272,46 +276,48 @@
         if (type != "claim" || m_claims < m_bounds.claims)
         {
             visit_changed(label + " takes effect", visit,
-                          [&](world& it) { it.take_effect(i); });
+                          [&](system_state& it) { it.take_effect(i); });
         }
         if (m_refusals < m_bounds.refusals)
         {
             visit_changed(label + " is refused", visit,
-                          [&](world& it) { it.refuse(i); });
+                          [&](system_state& it) { it.refuse(i); });
         }
     }
 }
 
-void world::visit_network(visitor const& visit) const
+void system_state::visit_network(visitor const& visit) const
 {
-    for (std::size_t i = 0; i < m_letters.size(); ++i)
+    for (std::size_t i = 0; i < m_messages.size(); ++i)
     {
-        auto const& it = m_letters[i];
+        auto const& it = m_messages[i];
         auto const* ask = std::get_if<vouch_request>(&it.message);
         auto const label =
             ask != nullptr
                 ? it.to + " gets " + ask->from + "'s request and answers"
                 : it.to + " gets the answer of " +
                       std::get<vouch_answer>(it.message).from;
-        visit_changed(label, visit, [&](world& next) { next.deliver(i); });
+        visit_changed(label, visit,
+                      [&](system_state& next) { next.deliver(i); });
     }
     for (std::size_t i = 0; i < m_fetches.size(); ++i)
     {
         visit_changed(m_processes[m_fetches[i].process]->name +
                           " gets the list",
-                      visit, [&](world& it) { it.answer_fetch(i); });
+                      visit, [&](system_state& it) { it.answer_fetch(i); });
     }
     for (auto const& it : m_processes)
     {
         if (it->dead && m_list.contains(it->name))
         {
             visit_changed("the list drops " + it->name, visit,
-                          [&](world& next) { next.m_list.erase(it->name); });
+                          [&](system_state& next)
+                          { next.m_list.erase(it->name); });
         }
     }
 }
 
-std::vector<std::string> world::acting() const
+std::vector<std::string> system_state::acting() const
 {
     std::vector<std::string> names;
     for (auto const& it : m_processes)
@@ -324,7 +330,7 @@
     return names;
 }
 
-state_digester::digest world::digest_of(process const& of) const
+state_digester::digest system_state::digest_of(process const& of) const
 {
     if (of.digested_at != m_now)
     {
@@ -338,7 +344,7 @@
     return of.digest;
 }
 
-state_digester::digest world::digest() const
+state_digester::digest system_state::digest() const
 {
     // What is under way has no order, so the digests of its parts are sorted.
     std::vector<state_digester::digest> parts;
@@ -349,7 +355,7 @@
         part.add(each.entry.value);
         parts.push_back(part.result());
     }
-    for (auto const& each : m_letters)
+    for (auto const& each : m_messages)
     {
         state_digester part;
         part.add(each.to);
--- a/tests/ownership/world.hpp
+++ b/tests/ownership/system_state.hpp
@@ -18,22 +18,22 @@
 /// Some processes, the log and what is under way between them, at one moment.
 /// Every next step is a copy with one event more. Times are whole ticks of
 /// one microsecond.
-class world
+class system_state
 {
 public:
-    enum class joiner : std::uint8_t
+    enum class third_process_state : std::uint8_t
     {
         never,
         /// Starts at any moment of the run.
         starts,
         /// Has joined; "p" has published that it knows it, "e" has not read
         /// it.
-        joined_unseen,
+        joined_unknown_to_owner,
     };
 
     struct bounds
     {
-        std::int64_t right{2};
+        std::int64_t lease_duration{2};
         std::int64_t horizon{6};
         /// Claims that take effect, in the whole run; more stay under way.
         int claims{2};
@@ -44,8 +44,8 @@
         /// The process that may be told to stop; empty for none.
         std::string stops{};
         /// The first process never reads the log again.
-        bool owner_is_cut_off{false};
-        joiner enters{joiner::never};
+        bool owner_cannot_read{false};
+        third_process_state third_process{third_process_state::never};
         /// Whether all processes tick on their own; a read ticks too.
         bool all_tick{false};
         safety_rules rules;
@@ -53,12 +53,12 @@
 
     /// "e" owns the unit; "p" has joined, and both know each other. "j" has
     /// not started.
-    explicit world(bounds limits);
+    explicit system_state(bounds limits);
 
-    using visitor = std::function<void(std::string, world const&)>;
+    using visitor = std::function<void(std::string, system_state const&)>;
 
     /// Calls `visit` with the label and the outcome of each possible step.
-    void each_step(visitor const& visit) const;
+    void for_each_step(visitor const& visit) const;
 
     /// Processes that may act for the unit now.
     [[nodiscard]] std::vector<std::string> acting() const;
@@ -79,12 +79,12 @@
         mutable state_digester::digest digest{};
         mutable std::int64_t digested_at{-1};
     };
-    struct under_way
+    struct pending_append
     {
         std::size_t process{0};
         append_record entry;
     };
-    struct letter
+    struct network_message
     {
         std::string to;
         /// The process whose round it belongs to.
@@ -109,12 +109,12 @@
     void read(std::size_t i);
     void tick(std::size_t i);
     void take_effect(std::size_t i);
-    void settle_all(std::size_t first);
+    void settle(std::size_t first);
     void perform(std::size_t i, actions const& list);
     void deliver(std::size_t i);
     void answer_fetch(std::size_t i);
     /// Letters of a round that is over change nothing any more.
-    void drop_stale_letters();
+    void drop_stale_messages();
     void refuse(std::size_t i);
     void visit_process(std::size_t i, visitor const& visit) const;
     void visit_log(visitor const& visit) const;
@@ -131,8 +131,8 @@
     std::vector<std::shared_ptr<process const>> m_processes;
     std::shared_ptr<std::vector<record> const> m_log;
     state_digester::digest m_log_digest;
-    std::vector<under_way> m_appends;
-    std::vector<letter> m_letters;
+    std::vector<pending_append> m_appends;
+    std::vector<network_message> m_messages;
     std::vector<fetch> m_fetches;
     std::set<std::string> m_list;
     int m_refusals{0};
