--- a/libraries/lease/inventory_barrier.hpp
+++ b/libraries/lease/inventory_barrier.hpp
@@ -9,29 +9,29 @@
 namespace berylhill::lease
 {
 
-/// Holds back placements in a group that was taken over until it is known what
-/// runs there. A value; not thread-safe.
+/// Blocks placements in a worker group after a takeover until the new owner
+/// knows which tasks run there. Not thread-safe.
 ///
-/// Guards against a second copy of a task, or a worker given more than it
-/// holds, after a takeover: the new owner does not know what the last one
-/// started. It knows for each worker that has answered, has been dropped from
-/// the platform's list, or whose leases have lapsed. Tasks that run are
-/// adopted and renewed meanwhile.
+/// The new owner does not know what the previous one started. Placing tasks too
+/// early could start a second copy of a task or overload a worker. A worker's
+/// tasks are known once it has sent its inventory, has been removed from the
+/// platform's endpoint list, or its leases have expired. Meanwhile running
+/// tasks are adopted and their leases renewed.
 class inventory_barrier
 {
 public:
-    /// `lapses_at`: when the leases of each of the group's workers have lapsed
-    /// for sure (`worker_lease::lapses_at`).
+    /// `expires_at` gives, for each worker of the group, the instant from which
+    /// its leases have certainly expired (`worker_lease::expires_at`).
     explicit inventory_barrier(std::map<std::string, base::instant> expires_at);
 
     void inventory_received(std::string const& worker);
-    /// The platform's list does not have it any more.
+    /// The worker is no longer on the platform's endpoint list.
     void worker_removed(std::string const& worker);
 
-    /// Placements in the group may begin.
+    /// Returns whether tasks may be placed in the group.
     [[nodiscard]] bool is_open(base::instant now) const;
 
-    /// Workers whose tasks are not known at `now`.
+    /// Workers whose tasks are still unknown at `now`.
     [[nodiscard]] std::vector<std::string> missing(base::instant now) const;
 
     friend bool operator==(inventory_barrier const&,
--- a/libraries/lease/worker_lease.cpp
+++ b/libraries/lease/worker_lease.cpp
@@ -46,8 +46,8 @@
     }
     if (incarnation != m_incarnation)
     {
-        // NOTE: A later answer of the old process cannot be told from a second
-        // restart by its name alone, so the last one replaced is remembered.
+        // A late answer of the old process looks like a second restart, so the
+        // replaced incarnation is remembered.
         m_replaced_incarnation = std::exchange(m_incarnation, incarnation);
         m_last = clock_reading{clock, sent_at, received_at};
         m_renewed_until = 0;
@@ -63,8 +63,8 @@
 
 base::instant worker_lease::expires_at() const
 {
-    // Every earlier owner's renewal named a clock that had been read before
-    // `m_since`, plus the length.
+    // Renewals of earlier owners end at most `length` after a clock reading
+    // that was taken before `m_since`.
     auto const earlier_owners_end =
         m_since + with_drift(m_options.length) + m_options.margin;
     if (!m_last)
