--- a/tests/lease/worker_lease_test.cpp
+++ b/tests/lease/worker_lease_test.cpp
@@ -25,18 +25,18 @@
 
 BOOST_AUTO_TEST_SUITE(worker_lease_suite)
 
-// A frozen worker's tasks are started elsewhere while it still runs them: its
-// owner counted the lease from when it sent the last renewal, but the answer
-// that the renewal built on was older. The lease has to be counted from the
-// last answer, on the worker's clock, with the rates' error.
-BOOST_AUTO_TEST_CASE(a_silent_worker_lapses_after_its_last_answer)
+// Tasks of an unresponsive worker must not be started elsewhere while it may
+// still run them. A renewal extends the lease from the clock in the last
+// answer, not from when the renewal was sent; the expiry has to include clock
+// drift.
+BOOST_AUTO_TEST_CASE(lease_expires_after_last_answer)
 {
     worker_lease it{s_options, s_start};
     BOOST_TEST(it.renew_until() == 0);
     it.renewal_sent(it.renew_until());
     it.answer_received("a", s_clock, after(0), after(1));
     BOOST_TEST(it.renew_until() == s_clock + 10'000'000);
-    // Sent again and again, unanswered: the lease gets no longer.
+    // Unanswered renewals do not extend the lease.
     for (int i = 2; i < 9; ++i)
     {
         it.renewal_sent(it.renew_until());
@@ -45,9 +45,9 @@
     BOOST_TEST(it.is_expired(after(11.6)));
 }
 
-// A renewal lay in a buffer, and the worker took it after its next answer had
-// been sent. What it renews to was fixed by the older clock.
-BOOST_AUTO_TEST_CASE(an_overtaken_answer_changes_nothing)
+// Answers can arrive out of order. An older clock reading must not replace a
+// newer one.
+BOOST_AUTO_TEST_CASE(stale_answer_changes_nothing)
 {
     worker_lease it{s_options, s_start};
     it.answer_received("a", s_clock + 2'000'000, after(2), after(2));
@@ -57,9 +57,9 @@
     BOOST_CHECK(it == before);
 }
 
-// A worker restarts: what ran there is gone, and a late answer of the old
-// process must not bring it back.
-BOOST_AUTO_TEST_CASE(a_new_process_is_told_from_the_old_one)
+// After a worker's restart its old tasks are gone; a late answer of the old
+// process must not restore them.
+BOOST_AUTO_TEST_CASE(restarted_process_is_detected)
 {
     worker_lease it{s_options, s_start};
     BOOST_CHECK(it.answer_received("a", s_clock, after(0), after(0)) ==
@@ -71,16 +71,17 @@
     BOOST_TEST(it.renew_until() == 7 + 10'000'000);
 }
 
-// A group changes hands while one of its workers is cut off. The new owner has
-// never heard it, and the last owner may have renewed until the very end.
-BOOST_AUTO_TEST_CASE(a_worker_never_heard_lapses_after_the_takeover)
+// A group is taken over while one of its workers is unreachable. The new owner
+// has no answer from it, and the previous owner may have renewed its lease
+// until the takeover.
+BOOST_AUTO_TEST_CASE(unreachable_worker_expires_after_takeover)
 {
     worker_lease const it{s_options, s_start};
     BOOST_TEST(!it.is_expired(after(10.4)));
     BOOST_TEST(it.is_expired(after(10.6)));
 }
 
-BOOST_AUTO_TEST_CASE(the_workers_clock_is_known_within_the_exchange)
+BOOST_AUTO_TEST_CASE(worker_clock_bounds_cover_round_trip_and_drift)
 {
     worker_lease it{s_options, s_start};
     BOOST_TEST(!it.estimate_clock(s_start).has_value());
@@ -91,9 +92,9 @@
     BOOST_TEST(bounds->latest == s_clock + 1'000'500);
 }
 
-// After a takeover the new owner places a task on a worker that is full, or a
-// second time, because it has not seen what runs on the silent one.
-BOOST_AUTO_TEST_CASE(placing_waits_for_every_workers_inventory)
+// After a takeover the new owner must not place a task twice, or on a full
+// worker, because it does not yet know what runs on an unreachable worker.
+BOOST_AUTO_TEST_CASE(placement_waits_for_all_inventories)
 {
     inventory_barrier it{
         {{"w1", after(10)}, {"w2", after(10)}, {"w3", after(12)}}};
