--- a/libraries/jobs/job_table.cpp
+++ b/libraries/jobs/job_table.cpp
@@ -80,7 +80,7 @@
 {
     if (m_jobs.contains(it.job))
     {
-        // The records that made it were read, so this one says nothing new.
+        // Built from the original records already, and may be newer.
         return;
     }
     job_entry entry;
--- a/libraries/jobs/job_table.hpp
+++ b/libraries/jobs/job_table.hpp
@@ -13,13 +13,13 @@
 namespace berylhill::jobs
 {
 
-/// What the log says of one job. A value.
+/// State of one job as recorded in the log.
 struct job_entry
 {
     model::job_request request;
     std::int64_t accepted_at_us{0};
     std::set<std::int32_t> done;
-    /// By task index: the newest attempt that may have been sent.
+    /// The latest attempt that may have been sent, by task index.
     std::map<std::int32_t, start_intent> intents;
     model::job_state state{model::job_state::queued};
     std::string detail;
@@ -28,25 +28,27 @@
     friend bool operator==(job_entry const&, job_entry const&) = default;
 };
 
-/// The fold of one shard's stream: the same records give the same book in
-/// every process. Pure; not thread-safe.
+/// The jobs of one shard, built by applying the records of its stream in order.
+/// Applying the same records gives the same table in every process. Not
+/// thread-safe.
 class job_table
 {
 public:
-    /// Takes the next record of the stream. Returns whether it counts: records
-    /// of an epoch below the highest that has opened do not.
+    /// Applies the next record of the stream. Returns false, and ignores the
+    /// record, if its epoch is below the highest epoch that has been opened.
     ///
-    /// It guards against an owner that was superseded and whose append arrives
-    /// late. The new owner has not seen that record, so a job in it would
-    /// never run; void for every reader, it can be submitted again.
+    /// Such a record is a late append of a superseded owner. The new owner has
+    /// not read it, so a job accepted in it would never run. As every reader
+    /// ignores the record, the job can be submitted again.
     bool apply(stamped_record const& it);
 
-    /// Forgets everything, because retention dropped records that were not
-    /// read; what is still wanted follows in `kept` records.
+    /// Clears the table after retention has deleted records that were not read.
+    /// Jobs that are still needed follow as `job_snapshot` records.
     void reset();
 
-    /// Removes finished jobs whose retention, in seconds by contract, is over
-    /// at `now_us`. Returns how many.
+    /// Removes finished jobs whose retention period has ended at `now_us`, in
+    /// microseconds since 1970 in UTC, and returns how many. `retention_of`
+    /// gives the period of a contract in seconds.
     std::size_t remove_expired(
         std::int64_t now_us,
         std::function<double(std::string const&)> const& retention_of);
@@ -63,14 +65,15 @@
     {
         return m_jobs;
     }
-    /// Null where there is none. Valid until the next change.
+    /// Returns null if the job is unknown. Valid until the next change.
     [[nodiscard]] job_entry const* find(std::string const& job) const;
 
-    /// The job that was accepted first under this contract's key.
+    /// The first job accepted with this idempotency key of the contract.
     [[nodiscard]] std::optional<std::string>
     job_of_key(std::string const& contract, std::string const& key) const;
 
-    /// Everything as records, to be written again before retention drops it.
+    /// All jobs as records, to be appended again before retention deletes the
+    /// original ones.
     [[nodiscard]] std::vector<record> snapshot() const;
 
     friend bool operator==(job_table const&, job_table const&) = default;
--- a/libraries/jobs/record.cpp
+++ b/libraries/jobs/record.cpp
@@ -194,7 +194,8 @@
 {
     if (!it.isObject() || !it["kind"].isString() || !it["epoch"].isInt64())
     {
-        return base::fail(base::failure_code::invalid, "not a job record");
+        return base::fail(base::failure_code::invalid,
+                          "job record without 'kind' or 'epoch'");
     }
     BOOST_LEAF_AUTO(value, record_from(it["kind"].asString(), it));
     return stamped_record{it["epoch"].asInt64(), value};
--- a/libraries/jobs/record.hpp
+++ b/libraries/jobs/record.hpp
@@ -10,51 +10,53 @@
 #include <variant>
 #include <vector>
 
-/// What a shard of jobs keeps in its stream of the platform's log, and how a
-/// new owner gets it back.
+/// Records that a job shard stores in its stream of the platform's log, from
+/// which a new owner restores the shard.
 namespace berylhill::jobs
 {
 
-/// The name of a shard's stream; each data centre has shards of its own.
+/// Returns the name of a shard's stream. Each data centre has its own shards.
 [[nodiscard]] std::string stream_of(std::string const& side,
                                     std::int64_t shard);
 
-/// A new owner begins. Records of lower epochs that come after it are void.
+/// A new owner has taken over the shard. Later records of lower epochs are
+/// ignored.
 struct shard_opened
 {
     std::string instance;
-    /// Counts the owners; the attempt numbers of each lie above those of all
-    /// before it.
+    /// Number of owners so far. Each owner's attempt numbers are above those of
+    /// all earlier owners.
     std::int32_t term{0};
 
     friend bool operator==(shard_opened const&, shard_opened const&) = default;
 };
 
-/// The job will be run; its caller may be told so.
+/// The job is accepted and will run; the caller may be told so.
 struct job_accepted
 {
     std::string job;
     model::job_request request;
-    /// Microseconds since 1970 in UTC, for people and for ageing out.
+    /// Microseconds since 1970 in UTC; shown to users and used for retention.
     std::int64_t at_us{0};
 
     friend bool operator==(job_accepted const&, job_accepted const&) = default;
 };
 
-/// An attempt that must not run twice is about to be sent to a rack's owner.
+/// An attempt of a task that must not run twice is about to be sent to the
+/// owner of a worker group.
 struct start_intent
 {
     model::attempt_id attempt;
-    /// The rack, and its owner's epoch as far as is known. While that owner
-    /// lasts, its inventory names every attempt that it ever started and whose
-    /// end is not in the log.
+    /// The worker group, and the epoch of its owner as far as known. While that
+    /// owner stays, its inventory lists every attempt that it has started and
+    /// whose end is not in the log.
     std::string group;
     std::int64_t group_epoch{-1};
 
     friend bool operator==(start_intent const&, start_intent const&) = default;
 };
 
-/// A task has succeeded and is not run again.
+/// A task has succeeded and must not run again.
 struct task_done
 {
     model::task_id task;
@@ -62,7 +64,7 @@
     friend bool operator==(task_done const&, task_done const&) = default;
 };
 
-/// The job's final state.
+/// The job has reached its final state.
 struct job_ended
 {
     std::string job;
@@ -73,7 +75,7 @@
     friend bool operator==(job_ended const&, job_ended const&) = default;
 };
 
-/// One job again, before retention drops the records that made it.
+/// Full state of one job, written before retention deletes its earlier records.
 struct job_snapshot
 {
     std::string job;
@@ -95,7 +97,7 @@
                             job_ended,
                             job_snapshot>;
 
-/// A record and the epoch of the owner that wrote it.
+/// A record with the epoch of the owner that wrote it.
 struct stamped_record
 {
     std::int64_t epoch{0};
