--- a/tests/jobs/job_table_test.cpp
+++ b/tests/jobs/job_table_test.cpp
@@ -28,9 +28,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(book)
+BOOST_AUTO_TEST_SUITE(job_table)
 
-BOOST_AUTO_TEST_CASE(every_record_comes_back_equal)
+BOOST_AUTO_TEST_CASE(records_survive_json_round_trip)
 {
     std::array const records{
         at(7, jobs::shard_opened{"entry-1", 3}),
@@ -56,11 +56,10 @@
     }
 }
 
-// A customer submits a report at an entry that is cut off. Its append lies in
-// a buffer, another entry takes the shard over, and the append takes effect
-// afterwards. The new owner never saw it: the job would count as accepted in
-// the log and never run. The record has to be void for every reader.
-BOOST_AUTO_TEST_CASE(a_late_append_of_a_superseded_owner_is_void)
+// An owner's append is delayed and takes effect after another entry has taken
+// over the shard. The new owner has not read that record, so its job would be
+// accepted in the log but never run. Every reader must ignore the record.
+BOOST_AUTO_TEST_CASE(late_append_of_superseded_owner_is_ignored)
 {
     jobs::job_table it;
     BOOST_TEST(it.apply(at(4, jobs::shard_opened{"entry-1", 1})));
@@ -72,7 +71,7 @@
     BOOST_TEST(it.term() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(the_first_job_keeps_its_key)
+BOOST_AUTO_TEST_CASE(key_stays_with_first_job)
 {
     jobs::job_table it;
     it.apply(at(1, jobs::job_accepted{"j0-1", request("winter"), 1}));
@@ -81,7 +80,7 @@
     BOOST_CHECK(!it.job_of_key("cantabrica", "winter").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_final_state_is_final)
+BOOST_AUTO_TEST_CASE(final_state_does_not_change)
 {
     jobs::job_table it;
     it.apply(at(1, jobs::job_accepted{"j0-1", request(), 1}));
@@ -92,10 +91,9 @@
     BOOST_CHECK(it.find("j0-1")->state == model::job_state::cancelled);
 }
 
-// Retention drops the records of a job that runs for a month. Without a
-// record that says it again the next owner would not know of the job, and the
-// customer would never get the report.
-BOOST_AUTO_TEST_CASE(a_snapshot_gives_the_same_book_after_retention)
+// Retention deletes the records of a job that runs for a month. Without a
+// snapshot the next owner would not know the job and would never finish it.
+BOOST_AUTO_TEST_CASE(snapshot_restores_table_after_retention)
 {
     jobs::job_table before;
     before.apply(at(1, jobs::shard_opened{"entry-1", 1}));
@@ -115,7 +113,7 @@
     BOOST_CHECK(after == before);
 }
 
-BOOST_AUTO_TEST_CASE(a_snapshot_does_not_take_back_what_came_after_it)
+BOOST_AUTO_TEST_CASE(snapshot_does_not_undo_later_records)
 {
     jobs::job_table it;
     it.apply(at(1, jobs::job_accepted{"j0-1", request(), 1}));
@@ -147,7 +145,7 @@
 
 } // namespace
 
-BOOST_DATA_TEST_CASE(finished_jobs_age_out_and_others_stay, s_expiry_cases, it)
+BOOST_DATA_TEST_CASE(only_finished_jobs_expire, s_expiry_cases, it)
 {
     jobs::job_table table;
     table.apply(at(1, jobs::job_accepted{"j0-1", request("k"), 1}));
