--- a/libraries/ownership/claim_table.cpp
+++ b/libraries/ownership/claim_table.cpp
@@ -85,10 +85,11 @@
     return names;
 }
 
-/// Guards against two rights at once: an owner without the log goes on when
-/// every member it knows vouches. A claim of a process that it does not know
-/// would be missed, so such a claim does not count until the owner has
-/// published that it has read the claimer's join, or has stopped for good.
+/// Prevents two processes from holding a lease on one unit. An owner that
+/// cannot read the log extends its lease if every member it knows vouches for
+/// it, and so would miss the claim of a process that it does not know. Such a
+/// claim takes effect only after the owner has published that it has read the
+/// claimer's `join`, has released the unit, or is no longer a member.
 bool claim_table::knows_claimer(owner const& current,
                                 member const& claimer) const
 {
@@ -107,7 +108,7 @@
 
 apply_result claim_table::apply_record(std::int64_t offset, join const& it)
 {
-    // One process runs at a time on an instance, so an older one is gone.
+    // An instance runs one process at a time, so its older process is gone.
     std::erase_if(m_members, [&](auto const& known)
                   { return known.second.instance == it.instance; });
     m_members[it.incarnation] = {it.instance, it.zone, offset, offset};
@@ -243,7 +244,7 @@
     }
     catch (Json::Exception const& it)
     {
-        // The library throws where a value has another type.
+        // JsonCpp throws if a value has an unexpected type.
         return base::failure{base::failure_code::invalid, it.what(), 0};
     }
     m_units = std::move(units);
--- a/libraries/ownership/claim_table.hpp
+++ b/libraries/ownership/claim_table.hpp
@@ -14,83 +14,85 @@
 namespace berylhill::ownership
 {
 
-/// A process that takes part, by its incarnation.
+/// A process that takes part in the ownership protocol.
 struct member
 {
     std::string instance;
     std::string zone;
+    /// The offset of its `join` record.
     std::int64_t join_offset{0};
-    /// It knows all who joined before this offset.
+    /// The process knows all members that joined before this offset.
     std::int64_t seen_through{0};
 
     friend auto operator<=>(member const&, member const&) = default;
 };
 
-/// Who owns a unit.
+/// The last known owner of a unit.
 struct owner
 {
     std::string incarnation;
     /// The offset of the record that made it the owner.
     std::int64_t epoch{0};
-    /// The offset of the unit's last change; what the next claim follows.
+    /// The offset of the unit's last change, which the next claim has to name.
     std::int64_t last_change{0};
     bool released{false};
 
     friend auto operator<=>(owner const&, owner const&) = default;
 };
 
-/// What one record did to the table.
+/// The effect of one record on the table.
 struct apply_result
 {
-    /// It counted; records that came second, or from a process that does not
-    /// take part, do not.
+    /// False for records that lost a race, or are from a process that is not a
+    /// member; these are ignored.
     bool effective{false};
-    /// For a claim or a successor: nobody can still act under an older right.
+    /// For a claim or a hand-over: no process can still hold an older lease.
     bool unit_was_free{false};
 
     friend auto operator<=>(apply_result const&, apply_result const&) = default;
 };
 
-/// When the claim of a process that the unit's owner may not know counts.
+/// When a claim takes effect if the unit's owner may not know the claimer yet.
 enum class joiner_rule : std::uint8_t
 {
-    /// Once the owner has published that it knows it, or is gone.
+    /// Once the owner has published that it knows the claimer, or is gone.
     wait_until_seen,
-    /// At once. Not safe; the exhaustive test shows why the rule is there.
+    /// Immediately. Unsafe; for the exhaustive test only.
     claim_at_once,
 };
 
-/// Folds the ownership stream in log order; every reader gets the same table.
-/// A value; not thread-safe.
+/// Units and members, built by applying the ownership stream in log order;
+/// every reader gets the same table. Not thread-safe.
 class claim_table
 {
 public:
     explicit claim_table(joiner_rule joiners = joiner_rule::wait_until_seen);
 
-    /// Takes the record at `offset`; offsets must not fall.
+    /// Applies the record at `offset`. Offsets must not decrease.
     apply_result apply(std::int64_t offset, record const& it);
 
-    /// All records before `offset` have been applied.
+    /// Notes that all records before `offset` have been applied.
     void advance_to(std::int64_t offset);
 
-    /// Forgets everything; records before `first` are lost, so the table is
-    /// not complete until a snapshot comes.
+    /// Clears the table because records before `first` are lost. The table
+    /// stays incomplete until a snapshot is applied.
     void reset(std::int64_t first);
 
-    /// Takes what was read since `restart` as all there is: the stream's end
-    /// was reached and nobody has kept an older state.
+    /// Marks the table complete with the records read since `reset`. For use
+    /// when the stream's end was reached and held no usable snapshot.
     void assume_complete();
 
     [[nodiscard]] bool complete() const noexcept
     {
         return m_complete;
     }
-    /// The offset that is read next.
+    /// The offset to read next.
     [[nodiscard]] std::int64_t next() const noexcept
     {
         return m_next;
     }
-    /// Null where the unit never had an owner. Valid until the next change.
+    /// Returns null if the unit never had an owner. Valid until the next
+    /// change.
     [[nodiscard]] owner const* owner_of(std::string const& unit) const;
     [[nodiscard]] std::map<std::string, owner> const& units() const noexcept
     {
@@ -101,13 +103,13 @@
     {
         return m_members;
     }
-    /// Whether a claim by this process, appended now, would count.
+    /// Whether a claim by this process, appended now, would take effect.
     [[nodiscard]] bool may_claim(std::string const& unit,
                                  std::string const& incarnation) const;
-    /// Units whose last change is at or after `offset`.
+    /// Units that last changed at or after `offset`.
     [[nodiscard]] std::vector<std::string>
     changed_since(std::int64_t offset) const;
-    /// Rises with every record that counted.
+    /// Increases with every effective record.
     [[nodiscard]] std::uint64_t version() const noexcept
     {
         return m_version;
@@ -138,7 +140,7 @@
     std::uint64_t m_version{0};
     std::map<std::string, owner> m_units;
     std::map<std::string, member> m_members;
-    /// Read since `restart`, to be applied once a snapshot has come.
+    /// Records read since `reset`, to be applied after the snapshot.
     std::vector<std::pair<std::int64_t, record>> m_deferred;
 };
 
--- a/libraries/ownership/message.cpp
+++ b/libraries/ownership/message.cpp
@@ -15,8 +15,9 @@
     {
         if (!it.isObject() || !it[name].isString())
         {
-            return base::fail(base::failure_code::invalid,
-                              std::string{"a message without "} + name);
+            return base::fail(
+                base::failure_code::invalid,
+                std::string{"ownership message without text field "} + name);
         }
     }
     return base::done{};
@@ -86,7 +87,7 @@
     if (!it["round"].isUInt64() || !it["table_next"].isInt64())
     {
         return base::fail(base::failure_code::invalid,
-                          "a vouch request without round or table_next");
+                          "vouch request without round or table_next");
     }
     return vouch_request{it["from"].asString(), it["instance"].asString(),
                          it["round"].asUInt64(), it["table_next"].asInt64()};
@@ -98,7 +99,7 @@
     if (!it["round"].isUInt64() || !it["doubtful"].isArray())
     {
         return base::fail(base::failure_code::invalid,
-                          "a vouch answer without round or doubtful");
+                          "vouch answer without round or doubtful");
     }
     vouch_answer value{it["from"].asString(),
                        it["instance"].asString(),
@@ -108,8 +109,9 @@
     {
         if (!unit.isString())
         {
-            return base::fail(base::failure_code::invalid,
-                              "a doubtful unit is not a name");
+            return base::fail(
+                base::failure_code::invalid,
+                "vouch answer with a doubtful unit that is not a string");
         }
         value.doubtful.push_back(unit.asString());
     }
--- a/libraries/ownership/message.hpp
+++ b/libraries/ownership/message.hpp
@@ -12,29 +12,30 @@
 namespace berylhill::ownership
 {
 
-/// "I am alive", from one entry to another.
+/// Sent periodically from one entry to another as a sign of life.
 struct heartbeat
 {
     std::string incarnation;
     std::string instance;
     std::string zone;
-    /// It hands its units over and takes no more.
+    /// The sender is handing over its units and accepts no others.
     bool leaving{false};
 
     friend auto operator<=>(heartbeat const&, heartbeat const&) = default;
 };
 
-/// "I watch this process and do not hear it."
+/// A watcher reports that it gets no heartbeats from a process. Both fields are
+/// incarnations.
 struct suspicion
 {
-    /// Incarnations.
     std::string from;
     std::string silent;
 
     friend auto operator<=>(suspicion const&, suspicion const&) = default;
 };
 
-/// An owner that cannot read the log asks a process that it knows.
+/// An owner that cannot read the log asks another process to vouch that no
+/// claim over its units has taken effect.
 struct vouch_request
 {
     /// The sender's incarnation.
@@ -48,8 +49,8 @@
                             vouch_request const&) = default;
 };
 
-/// "Nobody has taken anything from you that I know of or may have done myself,
-/// but for these units."
+/// Vouches that the sender knows of no claim over the requester's units, and
+/// has no pending claim of its own, except for the units in `doubtful`.
 struct vouch_answer
 {
     /// The sender's incarnation.
@@ -66,7 +67,7 @@
 [[nodiscard]] Json::Value to_json(vouch_request const& it);
 [[nodiscard]] Json::Value to_json(vouch_answer const& it);
 
-/// Each fails with `invalid`.
+/// Each fails with `invalid` if a field is missing or has the wrong type.
 [[nodiscard]] base::result<heartbeat> heartbeat_from(Json::Value const& it);
 [[nodiscard]] base::result<suspicion> suspicion_from(Json::Value const& it);
 [[nodiscard]] base::result<vouch_request>
--- a/libraries/ownership/participant.cpp
+++ b/libraries/ownership/participant.cpp
@@ -46,8 +46,8 @@
     }
     m_log_lease_until =
         std::max(m_log_lease_until, *fresh_as_of + m_options.lease_duration);
-    // What was written before this read, and is not among what was read, was
-    // lost in a gap or did not count.
+    // A record that was written before this read, but was not read, has been
+    // lost in a gap or did not take effect.
     for (auto it = m_written_at.begin(); it != m_written_at.end();)
     {
         auto const [ticket, at] = *it;
@@ -129,8 +129,9 @@
         m_releasing.erase(unit);
         return;
     }
-    // An older right ends at the latest `right` after the claim took effect,
-    // which was before now; `margin` allows for clocks of unlike rates.
+    // An older lease ends at most `lease_duration` after the claim took effect,
+    // which was before now; `clock_margin` allows for clocks of different
+    // rates.
     auto const is_free = done.unit_was_free && now >= m_trust_free_units_from;
     m_active_from[unit] =
         is_free ? now : now + m_options.lease_duration + m_options.clock_margin;
@@ -267,10 +268,10 @@
     finish_round();
 }
 
-/// Guards against a claim that took effect while this owner could not read the
-/// log: it shows as two processes acting for one unit. Only a member that this
-/// owner knows can have made the first such claim (`claim_table`), and it says
-/// so, or is still missing here.
+/// Detects claims that took effect while this owner could not read the log;
+/// missing one would let two processes act for one unit. Only a member that
+/// this owner knows can have made the first such claim (see `claim_table`); it
+/// reports the unit as doubtful when it answers.
 bool participant::all_members_answered() const
 {
     for (auto const& [incarnation, it] : m_table.members())
@@ -284,10 +285,10 @@
     return true;
 }
 
-/// The same for members that can never answer because they are gone. What
-/// such a member won may have gone on to a process that this owner does not
-/// know; but who acts has been on the list since before its claim, so it is
-/// on a list fetched after the round began, and says so itself.
+/// The same if some members cannot answer because they are gone. A unit claimed
+/// by such a member may have been handed on to a process that this owner does
+/// not know. But a process that acts for a unit was listed before its claim, so
+/// it is on any list fetched after the round began, and answers for itself.
 bool participant::all_listed_answered() const
 {
     if (!m_listed_as_of || *m_listed_as_of < m_round->started)
--- a/libraries/ownership/participant.hpp
+++ b/libraries/ownership/participant.hpp
@@ -19,29 +19,30 @@
 namespace berylhill::ownership
 {
 
-/// Whose word an owner needs to go on without the log.
+/// Whose vouch an owner needs to extend its lease without the log.
 enum class vouch_rule : std::uint8_t
 {
-    every_member, ///< All that it knows.
-    any_member,   ///< Not safe; for the exhaustive test only.
+    every_member, ///< All members that it knows.
+    any_member,   ///< Any one. Unsafe; for the exhaustive test only.
 };
 
-/// What a process with an unresolved claim says when it is asked to vouch.
+/// How a process answers a vouch request while a claim of its own is
+/// unresolved.
 enum class unresolved_rule : std::uint8_t
 {
-    is_doubtful, ///< That the unit may be its own.
-    is_ignored,  ///< Not safe; for the exhaustive test only.
+    is_doubtful, ///< It reports the claimed unit as doubtful.
+    is_ignored,  ///< It vouches. Unsafe; for the exhaustive test only.
 };
 
-/// What an owner needs where a member that it knows is gone for good.
+/// What an owner needs if a member that it knows is no longer listed.
 enum class removed_member_rule : std::uint8_t
 {
-    ask_all_listed, ///< All that a list fetched since shows have vouched.
-    exempt,         ///< Not safe; for the exhaustive test only.
+    ask_all_listed, ///< Vouches of all entries on a newly fetched list.
+    exempt,         ///< Nothing. Unsafe; for the exhaustive test only.
 };
 
-/// The rules that keep two processes from acting for one unit. Only tests give
-/// other values.
+/// The rules that prevent two processes from acting for one unit. Only tests
+/// use other than the default values.
 struct safety_rules
 {
     vouch_rule vouch{vouch_rule::every_member};
@@ -57,37 +58,41 @@
     std::string incarnation;
     std::string instance;
     std::string zone;
-    /// How long a right lasts, from before the exchange that granted it.
+    /// How long a lease lasts, counted from before the exchange that granted
+    /// it.
     base::duration lease_duration{std::chrono::milliseconds{2'500}};
-    /// Added to `right` before a claim over a living owner is acted on, for
-    /// clocks that run at unlike rates.
+    /// Added to `lease_duration` before acting on a claim over a unit that was
+    /// not released, because clocks run at different rates.
     base::duration clock_margin{std::chrono::milliseconds{50}};
-    /// A process not heard for this long is taken for dead.
+    /// A process without a heartbeat for this long is suspected to be dead.
     base::duration suspect_after{std::chrono::milliseconds{1'200}};
-    /// A process beats to at most this many others. They tell the rest when it
-    /// falls silent, so that what an instance sends does not grow with the
-    /// number of instances.
+    /// A process sends heartbeats to at most this many others, its watchers,
+    /// which report to the rest when it falls silent. This keeps the number of
+    /// messages an instance sends independent of the number of instances.
     std::size_t max_watchers{8};
-    /// How often a watcher repeats that a process is silent.
+    /// How often a watcher repeats its report of a silent process.
     base::duration suspicion_interval{std::chrono::milliseconds{500}};
-    /// Longer, where this process hears less than half of the others and may
-    /// itself be the one that is cut off.
+    /// Replaces `suspect_after` while this process gets heartbeats from less
+    /// than half of those it watches, and may itself be cut off.
     base::duration isolated_suspect_after{std::chrono::milliseconds{4'000}};
-    /// With fewer others than this, hearing none says nothing about who is cut
-    /// off.
+    /// With fewer watched processes than this, missing heartbeats do not show
+    /// which side is cut off.
     std::size_t min_peers_for_isolation{2};
-    /// How long the process wanted first for a unit may leave it unclaimed.
+    /// How long each process in a unit's preference order waits for the one
+    /// before it to claim the unit.
     base::duration claim_delay_step{std::chrono::milliseconds{600}};
-    /// A stopping process takes part for this long, so that the others, who
-    /// hear of it by heartbeat, have ceased to hand units to it.
+    /// A stopping process stays a member for at least this long. By then the
+    /// others know from its heartbeats that it is leaving and have stopped
+    /// handing units to it.
     base::duration min_leave_delay{std::chrono::milliseconds{700}};
-    /// Load above the mean at which an owner passes units on.
+    /// An owner hands units over if it owns more than the mean times this
+    /// factor.
     double max_load_factor{1.25};
     base::duration rebalance_interval{std::chrono::seconds{2}};
-    /// Records after which the table is written again.
+    /// Number of records after which a new snapshot is written.
     std::int64_t snapshot_records{2'000};
-    /// And the time after which it is, whatever was written: well below the
-    /// log's retention.
+    /// Time after which a new snapshot is written in any case; must be well
+    /// below the log's retention.
     base::duration snapshot_interval{std::chrono::minutes{10}};
     safety_rules rules;
 
@@ -95,7 +100,7 @@
                             participant_options const&) = default;
 };
 
-/// Append to the ownership stream; answer with `append_settled`.
+/// Append to the ownership stream, then call `on_append_settled`.
 struct append_record
 {
     std::uint64_t ticket{0};
@@ -107,7 +112,7 @@
 
 struct send_vouch_request
 {
-    /// An instance, whatever its incarnation.
+    /// An instance, with any incarnation.
     std::string to;
     vouch_request message;
 
@@ -125,7 +130,7 @@
                             send_vouch_answer const&) = default;
 };
 
-/// Read the platform's list now; answer with `listed`.
+/// Fetch the platform's endpoint list now, then call `on_entry_list`.
 struct fetch_entry_list
 {
     friend auto operator<=>(fetch_entry_list const&,
@@ -149,41 +154,45 @@
                             fetch_entry_list>;
 using actions = std::vector<action>;
 
-/// How an append of this process ended.
+/// How an append by this process ended.
 enum class append_outcome : std::uint8_t
 {
     written,
-    never_written, ///< It is not in the log and never will be.
+    never_written, ///< The record is not in the log and never will be.
 };
 
-/// What this process may do for which unit, and what it has to do to keep it
-/// so. One an instance. Pure: each event comes with its instant and returns
-/// the actions; not thread-safe.
+/// State machine of one process in the ownership protocol: which units the
+/// process may act for, and what it has to do to claim, keep and hand over
+/// units. Performs no I/O: each event is passed in with its instant and returns
+/// the actions to perform. Not thread-safe.
 ///
-/// Why no two processes act for one unit at once: a right ends `right` after
-/// an instant at which no claim over it had taken effect, shown either by the
-/// log's end or by every member that could have claimed. A claim over a unit
-/// that was not released is acted on only `right + margin` after it was seen
-/// in the log, so not before the older right has ended.
+/// No two processes act for one unit at the same time: a lease ends
+/// `lease_duration` after an instant at which no claim over the unit had taken
+/// effect. That is shown either by reading the log to its end, or by vouches of
+/// every member that could have claimed the unit. A claim over a unit that was
+/// not released is acted on only `lease_duration + clock_margin` after it was
+/// read from the log, and so after the older lease has ended.
 class participant
 {
 public:
-    /// `now` is when the process started to listen.
+    /// `now` is when the process began to listen for heartbeats.
     participant(participant_options options, base::instant now);
 
-    /// The units that should have an owner.
+    /// Sets the units that should have an owner.
     [[nodiscard]] actions set_units(std::set<std::string> units,
                                     base::instant now);
 
-    /// Records in log order, as read up to `next`. `fresh_as_of` is an instant
-    /// before the read, present if it reached the stream's end.
+    /// Records were read in log order up to offset `next`. `fresh_as_of` is an
+    /// instant before the read began; present only if the read reached the
+    /// stream's end.
     [[nodiscard]] actions
     on_log_read(std::vector<std::pair<std::int64_t, record>> const& records,
                 std::int64_t next,
                 std::optional<base::instant> fresh_as_of,
                 base::instant now);
 
-    /// Retention dropped what this process had not read.
+    /// Retention has deleted records that this process had not read; `first` is
+    /// the oldest offset left.
     void on_log_gap(std::int64_t first);
 
     [[nodiscard]] actions on_append_settled(std::uint64_t ticket,
@@ -192,14 +201,15 @@
 
     [[nodiscard]] actions on_heartbeat(heartbeat const& it, base::instant now);
 
-    /// A watcher does not hear a process.
+    /// A watcher reports a silent process.
     [[nodiscard]] actions on_suspicion(suspicion const& it, base::instant now);
 
-    /// The instances that get `own_heartbeat` about every 300 ms.
+    /// The instances to which `own_heartbeat` has to be sent about every 300
+    /// ms.
     [[nodiscard]] std::set<std::string> heartbeat_targets() const;
 
-    /// The instances on the platform's list, live or leaving; the request was
-    /// sent at `as_of`.
+    /// The entries on the platform's endpoint list, active or leaving, by
+    /// instance; the list was requested at `as_of`.
     [[nodiscard]] actions on_entry_list(std::set<std::string> instances,
                                         base::instant as_of);
 
@@ -208,23 +218,24 @@
     [[nodiscard]] actions on_vouch_answer(vouch_answer const& it,
                                           base::instant now);
 
-    /// Hand everything over; it is done when `stopped`.
+    /// Starts handing over all units. Done when `stopped` returns true.
     [[nodiscard]] actions stop(base::instant now);
 
-    /// Call about every 100 ms.
+    /// Has to be called about every 100 ms.
     [[nodiscard]] actions tick(base::instant now);
 
-    /// The epoch under which this process acts for the unit at `now`, if it
-    /// may. Ask immediately before each send: a process that was paused finds
-    /// its right lapsed here.
+    /// The epoch under which this process may act for the unit at `now`; empty
+    /// if it may not. Has to be called immediately before each send, so that a
+    /// process that was paused finds its lease expired.
     [[nodiscard]] std::optional<std::int64_t>
     active_epoch(std::string const& unit, base::instant now) const;
 
-    /// The units that this process owns by the table, whether or not it may
-    /// act for them now.
+    /// The units owned by this process according to the table, whether or not
+    /// it may act for them now.
     [[nodiscard]] std::vector<std::string> owned_units() const;
 
-    /// Where a request for the unit goes: its owner's incarnation.
+    /// The incarnation of the unit's owner, to which requests are routed; empty
+    /// if the unit has none.
     [[nodiscard]] std::optional<std::string>
     owner_of(std::string const& unit) const;
 
@@ -234,19 +245,22 @@
     }
     [[nodiscard]] heartbeat own_heartbeat() const;
 
-    /// Members that have been heard lately, with this process.
+    /// Members that are not suspected to be dead, including this process.
     [[nodiscard]] std::vector<candidate> live_members(base::instant now) const;
 
-    /// All was handed over and the parting is in the log.
+    /// The `leave` record is in the log, or a newer process runs on this
+    /// instance.
     [[nodiscard]] bool stopped() const noexcept
     {
         return m_left;
     }
-    /// The end of the right that the log gave; in an outage it lies behind.
+    /// The end of the lease granted by reading the log; in the past during a
+    /// log outage.
     [[nodiscard]] base::instant log_lease_until() const noexcept
     {
         return m_log_lease_until;
     }
+    /// The end of the lease granted by vouches.
     [[nodiscard]] base::instant vouched_until() const noexcept
     {
         return m_vouched_until;
@@ -255,14 +269,15 @@
     friend auto operator<=>(participant const&, participant const&) = default;
 
 private:
-    /// Reads the whole state, for the exhaustive test.
+    /// Digests the private state for the exhaustive test.
     friend class state_digester;
 
     struct peer
     {
         std::string instance;
+        /// When its last heartbeat was received, or its `join` record was read.
         base::instant last_heard{};
-        /// When a record of this process was last read.
+        /// When a claim of this process was last read.
         base::instant last_claim_read{};
         bool leaving{false};
 
@@ -273,7 +288,7 @@
     {
         std::uint64_t number{0};
         base::instant started{};
-        /// Who answered: incarnations and their instances.
+        /// The incarnations that have answered, and their instances.
         std::set<std::string> incarnations;
         std::set<std::string> instances;
         std::set<std::string> doubtful;
@@ -348,16 +363,16 @@
     std::set<std::string> m_units;
     base::instant m_started{};
     std::uint64_t m_last_ticket{0};
-    /// Appends of which this process does not know yet, from the log or by
-    /// failure, how they ended.
+    /// Appends whose outcome is unknown: neither read from the log nor failed.
     std::map<std::uint64_t, record> m_unresolved;
-    /// Of these, the written ones, and when that became known.
+    /// Those of them that were written, and when that became known.
     std::map<std::uint64_t, base::instant> m_written_at;
-    /// From when on this process acts for the units that it has won.
+    /// From when on this process acts for each unit that it owns.
     std::map<std::string, base::instant> m_active_from;
-    /// Since when a unit has been without a living owner.
+    /// Since when a unit has had no live owner.
     std::map<std::string, base::instant> m_unowned_since;
-    /// Release records under way: this process has stopped acting for these.
+    /// Units with a pending `release` record; this process has stopped acting
+    /// for them.
     std::set<std::string> m_releasing;
     base::instant m_log_lease_until{};
     base::instant m_vouched_until{};
@@ -365,11 +380,13 @@
     std::optional<vouch_round> m_round;
     std::uint64_t m_last_round{0};
     std::map<std::string, peer> m_peers;
-    /// The incarnations that beat to this process, and those that it beats to.
+    /// The incarnations whose heartbeats this process monitors, and the
+    /// instances that monitor its own.
     std::set<std::string> m_watched;
     std::set<std::string> m_watchers;
     std::vector<candidate> m_watch_members;
-    /// By the silent process and who says so.
+    /// When a process was last reported silent, by its incarnation and the
+    /// watcher's.
     std::map<std::string, std::map<std::string, base::instant>> m_suspected;
     base::instant m_last_suspicion_at{};
     std::set<std::string> m_listed;
@@ -382,11 +399,11 @@
     std::int64_t m_snapshot_through{0};
     bool m_stopping{false};
     bool m_left{false};
-    /// The table began after a gap that nobody could fill: until then, units
-    /// that look free may have an owner.
+    /// Set when the table is completed without a snapshot after a gap: until
+    /// then, units that look free may have an owner.
     base::instant m_trust_free_units_from{};
-    /// What `claim_orphans` looked at last; it has nothing to do while this
-    /// stays.
+    /// Inputs of the last `claim_unowned_units`, which has nothing to do while
+    /// they stay the same.
     std::uint64_t m_scanned_table_version{0};
     std::vector<candidate> m_scanned_live;
     bool m_scanned{false};
--- a/libraries/ownership/participant_decisions.cpp
+++ b/libraries/ownership/participant_decisions.cpp
@@ -1,4 +1,5 @@
-/// What a tenure wants: taking part, claims, moves, snapshots, parting.
+/// Decisions of a participant: claims, rebalancing, snapshots and planned
+/// stops.
 #include <ownership/participant.hpp>
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 namespace
 {
 
-/// Surplus units passed on at once are this part of the surplus, at least one.
+/// A rebalance hands over the surplus divided by this, at least one unit.
 constexpr std::size_t s_surplus_divisor = 8;
 
 } // namespace
@@ -86,7 +87,8 @@
     auto const inputs_unchanged =
         m_scanned && m_unowned_since.empty() &&
         m_scanned_table_version == m_table.version() && m_scanned_live == alive;
-    // When all start at once, the first to join would take every unit.
+    // If all processes start together, the first to join would claim every
+    // unit.
     auto const joined_recently = now - m_joined_at < m_options.suspect_after;
     if (inputs_unchanged || joined_recently || !is_member() ||
         is_probably_cut_off(now))
@@ -141,8 +143,8 @@
     {
         return;
     }
-    // The next ones in order come forward if the first, which may not be able
-    // to reach the log, does not.
+    // The most preferred process may be unable to reach the log, so the others
+    // claim after a delay that grows with their rank.
     auto const rank = own - order.begin();
     if (now - since < m_options.claim_delay_step * rank)
     {
@@ -215,10 +217,11 @@
     return names;
 }
 
-/// Few at a time, so that a cell whose instances come and go is not shuffled.
+/// Hands over few units at a time, to limit moves when instances come and go.
 void participant::rebalance(base::instant now, actions& out)
 {
-    // A release that meets an outage leaves its unit idle while it is tried.
+    // A unit stays idle while its release is pending, which takes long in a log
+    // outage.
     auto const log_is_healthy =
         m_log_lease_until - now >= m_options.lease_duration * 3 / 4;
     if (now - m_last_rebalance < m_options.rebalance_interval ||
@@ -277,8 +280,8 @@
     auto load = count_units();
     for (auto const& [unit, from] : m_active_from)
     {
-        // A claim that is not acted on yet is not released: its release would
-        // let the next owner act before the older right has ended.
+        // A unit that is not active yet is not released: the next owner would
+        // act before the older lease has ended.
         if (now < from || m_releasing.contains(unit))
         {
             continue;
@@ -293,7 +296,7 @@
     auto const may_leave = now - m_stopping_since >= m_options.min_leave_delay;
     if (may_leave && !has_active && m_unresolved.empty())
     {
-        // Units still waiting to become active are left to be claimed.
+        // Units that are not active yet are left for others to claim.
         m_active_from.clear();
         append(leave{m_options.incarnation}, out);
     }
--- a/libraries/ownership/participant_membership.cpp
+++ b/libraries/ownership/participant_membership.cpp
@@ -1,4 +1,4 @@
-/// Who takes part, as a tenure sees it, and its own part in that.
+/// Membership and failure detection of a participant.
 #include <ownership/participant.hpp>
 
 #include <algorithm>
@@ -73,10 +73,10 @@
     return now - last <= within;
 }
 
-/// The others fall silent one by one, as their beats are not in step. Heard is
-/// therefore who was heard well within the time after which the first of them
-/// is suspected; otherwise that one's units would be claimed before this
-/// process finds that it hears nobody.
+/// Heartbeats of the others are not synchronous, so in a network failure their
+/// timeouts end one after another. A process therefore counts as heard only
+/// within two thirds of `suspect_after`. Otherwise this process would suspect
+/// the first one and claim its units before it detects that it is isolated.
 bool participant::is_isolated(base::instant now) const
 {
     auto const others = m_watched.size();
@@ -95,11 +95,12 @@
                             : m_options.suspect_after;
 }
 
-/// Guards against a process whose own network is cut, but not its way to the
-/// log, taking every unit of the cell: each would stand still until its claim
-/// is active, again and again. The others, who live, have claimed its units by
-/// the time that it may claim theirs, and it has read so. One that owned
-/// nothing cannot tell, and waits until the platform's list drops the others.
+/// Prevents a process that is cut off from the others, but not from the log,
+/// from claiming every unit of the cell; each unit would be idle until its
+/// claim is active, again and again. By the time it may claim units of the
+/// others, those that are alive have claimed its own units, and it has read
+/// their claims. A process without units cannot tell, and waits until the
+/// others are removed from the platform's endpoint list.
 bool participant::is_probably_cut_off(base::instant now) const
 {
     if (!is_isolated(now))
@@ -117,8 +118,7 @@
            std::any_of(m_watched.begin(), m_watched.end(), has_claimed);
 }
 
-/// Two watchers have to say so, because one may itself be the one that is cut
-/// off.
+/// Requires recent reports of two watchers, because one may itself be cut off.
 bool participant::is_suspected(std::string const& incarnation,
                                base::instant now) const
 {
@@ -143,7 +143,7 @@
     {
         all.push_back({incarnation, it.instance, it.zone});
     }
-    // Costs the square of the members' number, so only when they change.
+    // Quadratic in the number of members, so done only when they change.
     if (all == m_watch_members)
     {
         return;
@@ -175,7 +175,7 @@
     {
         return m_watchers;
     }
-    // All have to know who leaves, and who is not a member yet.
+    // Everybody has to know a process that is leaving or not a member yet.
     std::set<std::string> all = m_listed;
     for (auto const& [incarnation, it] : m_table.members())
     {
@@ -226,8 +226,8 @@
     return found;
 }
 
-/// Who may be given a unit. Only processes on the platform's list, which is
-/// what `all_listed_answered` rests on.
+/// The processes that may become owner of a unit. `all_listed_answered` relies
+/// on these being on the platform's endpoint list.
 std::vector<candidate> participant::eligible_owners(base::instant now) const
 {
     auto found = live_members(now);
--- a/libraries/ownership/record.cpp
+++ b/libraries/ownership/record.cpp
@@ -89,7 +89,7 @@
     if (!it.isObject())
     {
         return base::fail(base::failure_code::invalid,
-                          "an ownership record is an object");
+                          "ownership record is not a JSON object");
     }
     auto const type = string_at(it, "type");
     auto const incarnation = string_at(it, "incarnation");
@@ -125,7 +125,7 @@
         return snapshot{number_at(it, "through"), string_at(it, "table")};
     }
     return base::fail(base::failure_code::invalid,
-                      "unknown ownership record '" + type + "'");
+                      "ownership record of unknown type '" + type + "'");
 }
 
 } // namespace berylhill::ownership
--- a/libraries/ownership/record.hpp
+++ b/libraries/ownership/record.hpp
@@ -9,12 +9,12 @@
 #include <string>
 #include <variant>
 
-/// Who owns which unit (a group of endpoints, a shard of jobs), agreed through
-/// one stream of the platform's log.
+/// Ownership of units (groups of endpoints and shards of jobs), agreed on
+/// through one stream of the platform's log.
 namespace berylhill::ownership
 {
 
-/// A process begins to take part; older incarnations of its instance are gone.
+/// A process becomes a member; older incarnations of its instance are gone.
 struct join
 {
     std::string incarnation;
@@ -24,7 +24,7 @@
     friend auto operator<=>(join const&, join const&) = default;
 };
 
-/// A process has stopped acting, on purpose.
+/// A process has stopped acting as part of a planned stop.
 struct leave
 {
     std::string incarnation;
@@ -32,7 +32,7 @@
     friend auto operator<=>(leave const&, leave const&) = default;
 };
 
-/// The platform's list has dropped the instance of this process.
+/// The instance of this process is no longer on the platform's endpoint list.
 struct removal
 {
     std::string incarnation;
@@ -40,8 +40,8 @@
     friend auto operator<=>(removal const&, removal const&) = default;
 };
 
-/// The process has read all records before `through`, so it knows, and asks
-/// for a vouch, every process that joined before.
+/// The process has read all records before `through`. It therefore knows every
+/// member that joined before, and will ask each of them to vouch.
 struct seen
 {
     std::string incarnation;
@@ -50,8 +50,8 @@
     friend auto operator<=>(seen const&, seen const&) = default;
 };
 
-/// Counts only while `follows` is the offset of the unit's last change; -1
-/// where it never had one.
+/// A process claims a unit. Takes effect only if `follows` is the offset of the
+/// unit's last change, or -1 if the unit has never changed.
 struct claim
 {
     std::string unit;
@@ -61,8 +61,8 @@
     friend auto operator<=>(claim const&, claim const&) = default;
 };
 
-/// The owner has stopped acting for the unit. With `successor`, that process
-/// is the owner from this record on; without, the unit is free.
+/// The owner has stopped acting for the unit. The process in `successor` is the
+/// owner from this record on; if it is empty, the unit is free.
 struct release
 {
     std::string unit;
@@ -77,7 +77,7 @@
 struct snapshot
 {
     std::int64_t through{0};
-    /// `claim_table::to_json`, as text.
+    /// JSON text written by `claim_table::to_snapshot`.
     std::string table;
 
     friend auto operator<=>(snapshot const&, snapshot const&) = default;
@@ -88,7 +88,7 @@
 
 [[nodiscard]] Json::Value to_json(record const& it);
 
-/// Fails with `invalid`.
+/// Fails with `invalid` if the value is not an object or its type is unknown.
 [[nodiscard]] base::result<record> record_from(Json::Value const& it);
 
 } // namespace berylhill::ownership
--- a/libraries/ownership/unit_distribution.cpp
+++ b/libraries/ownership/unit_distribution.cpp
@@ -57,7 +57,7 @@
     {
         return others;
     }
-    // Each zone's first, then each zone's second, and so on.
+    // First the most preferred of each zone, then the second of each zone, etc.
     std::map<std::string, std::size_t> taken;
     std::map<std::pair<std::size_t, std::size_t>, candidate> rounds;
     std::size_t place = 0;
--- a/libraries/ownership/unit_distribution.hpp
+++ b/libraries/ownership/unit_distribution.hpp
@@ -9,7 +9,7 @@
 namespace berylhill::ownership
 {
 
-/// A process that can take units.
+/// A process that can own units.
 struct candidate
 {
     std::string incarnation;
@@ -19,25 +19,27 @@
     friend auto operator<=>(candidate const&, candidate const&) = default;
 };
 
-/// The incarnations in the order in which they are wanted for the unit: by
-/// rendezvous over zones first, so that units spread over zones whatever their
-/// sizes, then over the instances of a zone. Equal in every process.
+/// Returns the incarnations in order of preference as owner of the unit, by
+/// rendezvous hashing: first over zones, so that units spread evenly over zones
+/// of unequal size, then over the instances of a zone. Every process gets the
+/// same order.
 [[nodiscard]] std::vector<std::string>
 preference_order(std::string_view unit,
                  std::vector<candidate> const& candidates);
 
-/// Who watches the process for silence: at most `most` of the others, from as
-/// many zones as there are, so that a zone that is lost takes few of them.
-/// Equal in every process.
+/// Returns the processes that monitor the heartbeats of `watched`: at most
+/// `most` of the others, spread over all zones so that the loss of a zone
+/// removes few of them. Every process gets the same result.
 [[nodiscard]] std::vector<candidate>
 watchers_of(candidate const& watched,
             std::vector<candidate> const& all,
             std::size_t most);
 
-/// How many units each process owns.
+/// Number of units by owner's incarnation.
 using unit_counts = std::map<std::string, std::size_t>;
 
-/// The most units that one of `n` processes should own.
+/// The largest number of units that one of `n` processes should own: the mean
+/// times `max_load_factor`, rounded up.
 [[nodiscard]] std::size_t
 max_units_per_process(std::size_t units, std::size_t n, double max_load_factor);
 
