--- a/tests/ownership/claim_table_test.cpp
+++ b/tests/ownership/claim_table_test.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// Two members, and "u" owned by "a" at epoch 2.
+/// Members "a" and "b", and unit "u" owned by "a" at epoch 2.
 claim_table example()
 {
     claim_table it;
@@ -37,9 +37,11 @@
 }
 
 std::array const s_attempts{
-    attempt{"follows the current claim", claim{"u", "b", 2}, true},
-    attempt{"follows an older state", claim{"u", "b", -1}, false},
-    attempt{"of a process that has not joined", claim{"u", "c", 2}, false},
+    attempt{"claim that follows the current owner's claim", claim{"u", "b", 2},
+            true},
+    attempt{"claim that follows an older state", claim{"u", "b", -1}, false},
+    attempt{"claim by a process that has not joined", claim{"u", "c", 2},
+            false},
     attempt{"release by the owner", release{"u", "a", 2, ""}, true},
     attempt{"release by another", release{"u", "b", 2, ""}, false},
     attempt{"release of an older epoch", release{"u", "a", 1, ""}, false},
@@ -49,15 +51,15 @@
 
 BOOST_AUTO_TEST_SUITE(table)
 
-BOOST_DATA_TEST_CASE(which_records_count, s_attempts, it)
+BOOST_DATA_TEST_CASE(which_records_take_effect, s_attempts, it)
 {
     auto table = example();
     BOOST_TEST(table.apply(3, it.it).effective == it.takes_effect);
 }
 
-// Two entries claim a dead entry's rack at once. Both records are in the log;
-// every reader has to name the same owner.
-BOOST_AUTO_TEST_CASE(the_first_of_two_claims_wins)
+// Two entries claim a dead entry's unit at the same time. Both records are in
+// the log; every reader must name the same owner.
+BOOST_AUTO_TEST_CASE(first_of_two_claims_takes_effect)
 {
     auto it = example();
     it.apply(3, join{"c", "entry-3", "z"});
@@ -68,7 +70,7 @@
     BOOST_TEST(it.owner_of("u")->epoch == 5);
 }
 
-BOOST_AUTO_TEST_CASE(a_joiner_waits_until_the_owner_knows_it)
+BOOST_AUTO_TEST_CASE(new_member_cannot_claim_until_owner_knows_it)
 {
     auto it = example();
     it.apply(3, join{"c", "entry-3", "z"});
@@ -78,7 +80,7 @@
     BOOST_TEST(!it.apply(5, claim{"u", "c", 2}).unit_was_free);
 }
 
-BOOST_AUTO_TEST_CASE(a_successor_is_the_owner_at_once)
+BOOST_AUTO_TEST_CASE(successor_owns_unit_immediately)
 {
     auto it = example();
     auto const done = it.apply(3, release{"u", "a", 2, "b"});
@@ -88,9 +90,9 @@
     BOOST_TEST(it.owner_of("u")->epoch == 3);
 }
 
-// An entry slept while retention dropped the claims. It must not take the
-// units for unowned, and it must not be misled by an older snapshot.
-BOOST_AUTO_TEST_CASE(a_gap_is_filled_from_a_snapshot)
+// Retention deleted claims while an entry was paused. The entry must not treat
+// the units as free, and must not use a snapshot older than the gap.
+BOOST_AUTO_TEST_CASE(gap_is_filled_from_snapshot)
 {
     auto whole = example();
     auto const old = whole.to_snapshot();
@@ -114,7 +116,7 @@
     BOOST_CHECK(it.members() == whole.members());
 }
 
-BOOST_AUTO_TEST_CASE(records_and_messages_survive_the_codec)
+BOOST_AUTO_TEST_CASE(records_and_messages_survive_json_round_trip)
 {
     std::array<record, 7> const all{join{"a", "entry-1", "z"},
                                     leave{"a"},
--- a/tests/ownership/exhaustive_test.cpp
+++ b/tests/ownership/exhaustive_test.cpp
@@ -14,16 +14,17 @@
 namespace
 {
 
-/// Above every case here; reaching it is a failure, not a pass.
+/// Above the number of states of every case; reaching it fails the test.
 constexpr std::size_t s_max_states = 1'000'000;
 
 struct exploration_result
 {
     std::size_t states{0};
     bool is_complete{true};
-    /// The shortest run that ends with two processes acting.
+    /// The shortest run that ends with two processes acting for the unit.
     std::vector<std::string> counterexample;
-    /// Who acted in any state, and until when the first owner did.
+    /// The processes that acted in any state, and until when the first owner
+    /// did.
     std::set<std::string> acted;
     std::int64_t owner_until{0};
 };
@@ -57,7 +58,8 @@
     }
 }
 
-/// Breadth first, each state once, so that a breaking run is a shortest one.
+/// Explores breadth-first, visiting each state once, so that a counterexample
+/// is a shortest one.
 exploration_result explore(system_state const& start)
 {
     std::vector<visited_state> all{{0, ""}};
@@ -145,7 +147,7 @@
 std::array const s_safe_cases{
     exploration_case{"two processes, one refused append",
                      with(two_processes(), [](auto& it) { it.refusals = 1; })},
-    exploration_case{"two processes, a longer right",
+    exploration_case{"two processes, a longer lease",
                      with(two_processes(),
                           [](auto& it)
                           {
@@ -158,19 +160,20 @@
                                                                it.horizon = 6;
                                                                it.stops = "e";
                                                            })},
-    exploration_case{"a joiner while the owner is cut off", joining()},
-    exploration_case{"a member takes over and hands on to a joiner",
+    exploration_case{"a process joins while the owner cannot read the log",
+                     joining()},
+    exploration_case{"a member takes over and hands over to a new member",
                      with(dying(),
                           [](auto& it)
                           {
                               it.deaths = false;
                               it.stops = "p";
                           })},
-    exploration_case{"a member dies and is dropped from the list", dying()},
+    exploration_case{"a member dies and is removed from the list", dying()},
 };
 
 std::array const s_unsafe_cases{
-    exploration_case{"whoever answers may vouch",
+    exploration_case{"a single vouch is enough",
                      with(two_processes(),
                           [](auto& it)
                           { it.rules.vouch = vouch_rule::any_member; })},
@@ -179,11 +182,11 @@
                           [](auto& it) {
                               it.rules.unresolved = unresolved_rule::is_ignored;
                           })},
-    exploration_case{"a joiner claims at once",
+    exploration_case{"a new member claims before the owner knows it",
                      with(joining(),
                           [](auto& it)
                           { it.rules.joiners = joiner_rule::claim_at_once; })},
-    exploration_case{"a dropped member is simply exempt",
+    exploration_case{"a member removed from the list is exempt",
                      with(dying(),
                           [](auto& it) {
                               it.rules.removed_members =
@@ -195,7 +198,7 @@
 {
     auto text = std::string{of.name} + ": " + std::to_string(it.states) +
                 " states, " +
-                (it.counterexample.empty() ? "holds" : "breaks so:");
+                (it.counterexample.empty() ? "holds" : "counterexample:");
     for (auto const& label : it.counterexample)
     {
         text += "\n    " + label;
@@ -207,26 +210,27 @@
 
 BOOST_AUTO_TEST_SUITE(exhaustive)
 
-// Two entries act for the same rack and each places its own tasks there: the
-// workers get more than they hold. It would need an owner that goes on without
-// the log while another's claim, delayed or unseen, has become active. Every
-// order of reads, appends, vouches, joins, deaths and stops up to the bound is
-// tried on the real classes; an entry that takes no step is one that is paused.
-BOOST_DATA_TEST_CASE(never_do_two_processes_act_for_one_unit, s_safe_cases, it)
+// If two entries acted for one group, both would place tasks there and overload
+// its workers. It would take an owner that extends its lease without the log
+// while another's claim, delayed or unseen, has become active. The test runs
+// the real classes through every order of reads, appends, vouches, joins,
+// deaths and stops up to the bounds; an entry that takes no step is a paused
+// one.
+BOOST_DATA_TEST_CASE(no_two_processes_act_for_one_unit, s_safe_cases, it)
 {
     auto const found = explore(system_state{it.limits});
     print(it, found);
     BOOST_TEST(found.is_complete);
     BOOST_TEST(found.counterexample.empty());
-    // The bound is wide enough to matter: the owner went on past its first
-    // right, and another process took over.
+    // The bounds are wide enough: the owner extended its first lease, and
+    // another process took over.
     BOOST_TEST(found.owner_until > 1 + it.limits.lease_duration);
     BOOST_TEST(found.acted.size() > 1U);
 }
 
-// The same with one of the rules taken away: each has its breaking run, so
-// none of them is there for nothing, and the exploration would see a fault.
-BOOST_DATA_TEST_CASE(each_rule_is_needed, s_unsafe_cases, it)
+// Without any one of the safety rules there is a counterexample. So each rule
+// is needed, and the exploration detects violations.
+BOOST_DATA_TEST_CASE(each_safety_rule_is_needed, s_unsafe_cases, it)
 {
     auto const found = explore(system_state{it.limits});
     print(it, found);
--- a/tests/ownership/participant_test.cpp
+++ b/tests/ownership/participant_test.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// A cell that has settled.
+/// A cell in which every unit has an active owner.
 simulated_cell settled_cell(simulated_cell::settings of = {})
 {
     simulated_cell it{of};
@@ -25,7 +25,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(tenures)
+BOOST_AUTO_TEST_SUITE(participants)
 
 BOOST_AUTO_TEST_CASE(units_are_spread_over_instances)
 {
@@ -39,9 +39,9 @@
     BOOST_TEST(it.conflicts() == 0U);
 }
 
-// An entry dies with its racks and job shards. Nothing new is placed there
-// until another owns them; customers notice after some seconds.
-BOOST_AUTO_TEST_CASE(a_crash_is_taken_over_in_seconds)
+// An entry dies. No task is placed in its groups and shards until another entry
+// owns them, which has to happen within seconds.
+BOOST_AUTO_TEST_CASE(crashed_entry_is_taken_over_within_seconds)
 {
     auto it = settled_cell();
     std::vector<double> gaps;
@@ -64,9 +64,9 @@
     BOOST_TEST(it.conflicts() == 0U);
 }
 
-// A cell of many instances, where none hears all the others: a crash has to be
-// noticed by its watchers and told to the rest.
-BOOST_AUTO_TEST_CASE(a_crash_is_noticed_by_watchers)
+// In a cell of many instances no process gets heartbeats from all the others. A
+// crash has to be detected by the watchers and reported to the rest.
+BOOST_AUTO_TEST_CASE(crash_is_detected_by_watchers)
 {
     auto it = settled_cell({.instances = 24, .zones = 4, .units = 72});
     BOOST_TEST(it.at(3).heartbeat_targets().size() == 8U);
@@ -79,9 +79,9 @@
     BOOST_TEST(it.conflicts() == 0U);
 }
 
-// A watcher is cut off from those that it watches and calls them all dead. Its
-// word alone must not move their units.
-BOOST_AUTO_TEST_CASE(one_watchers_word_is_not_enough)
+// A watcher that is cut off from the processes it watches reports them as
+// silent. Its report alone must not move their units.
+BOOST_AUTO_TEST_CASE(suspicion_by_one_watcher_is_not_enough)
 {
     auto it = settled_cell({.instances = 24, .zones = 4, .units = 72});
     auto const watcher = it.at(0).own_heartbeat().incarnation;
@@ -97,10 +97,10 @@
     BOOST_TEST(it.longest_gap() == base::duration{});
 }
 
-// Something between an entry and the others has lost its connections, but it
-// reaches the log. It hears nobody, takes all for dead and claims every rack
-// and shard: the whole cell stands still until the claims are active.
-BOOST_AUTO_TEST_CASE(an_isolated_process_takes_nothing)
+// An entry is cut off from the others but reaches the log. If it suspected all
+// of them and claimed every unit, the whole cell would be idle until the claims
+// are active.
+BOOST_AUTO_TEST_CASE(isolated_process_claims_nothing)
 {
     auto it = settled_cell();
     it.cut(0, true);
@@ -108,8 +108,8 @@
     it.run(1min);
     BOOST_TEST(it.acted_on_by(0).empty());
     BOOST_TEST(it.acted_on() == it.units().size());
-    // One takeover of its units; of the others, some are moved, none stood
-    // still.
+    // Its units are taken over once. Some other units are moved, but none is
+    // idle.
     BOOST_TEST(base::seconds_of(it.longest_gap()) <= 5);
     BOOST_TEST(it.units_with_gap(1s) == lost.size());
     it.cut(0, false);
@@ -118,9 +118,10 @@
     BOOST_TEST(it.conflicts() == 0U);
 }
 
-// Most instances die at once. The rest hear less than half of the cell, as if
-// they were cut off, but nobody claims their units, so they go on.
-BOOST_AUTO_TEST_CASE(the_loss_of_most_is_taken_over)
+// Most instances die at once. The rest get heartbeats from less than half of
+// the cell, as if they were cut off. As nobody claims their units, they know
+// that they are not, and take over.
+BOOST_AUTO_TEST_CASE(loss_of_most_instances_is_taken_over)
 {
     auto it = settled_cell({.instances = 5, .units = 20});
     it.kill(0);
@@ -131,9 +132,9 @@
     BOOST_TEST(it.conflicts() == 0U);
 }
 
-// An operator announces that an instance will be replaced. Calls and jobs must
-// not notice: each unit has its next owner before the old one is gone.
-BOOST_AUTO_TEST_CASE(a_planned_stop_leaves_no_gap)
+// In a planned stop each unit has to get its next owner before the old one
+// leaves, so that calls and jobs are not interrupted.
+BOOST_AUTO_TEST_CASE(planned_stop_leaves_no_gap)
 {
     auto it = settled_cell();
     it.stop(4);
@@ -146,9 +147,9 @@
     BOOST_TEST(it.conflicts() == 0U);
 }
 
-// The platform's log is down for ten minutes. Rights run out after seconds, so
-// the cell would stand still although every entry is well.
-BOOST_AUTO_TEST_CASE(a_log_outage_stops_nothing)
+// The platform's log is down for ten minutes. Leases last seconds, so without
+// vouches the cell would be idle although every entry works.
+BOOST_AUTO_TEST_CASE(log_outage_stops_no_unit)
 {
     auto it = settled_cell({.instances = 5, .units = 20});
     it.set_log(false);
@@ -160,9 +161,10 @@
     BOOST_TEST(it.conflicts() == 0U);
 }
 
-// An entry dies while the log is down. Its own units wait for the log; the
-// others must not stand still for ever because it can no longer vouch.
-BOOST_AUTO_TEST_CASE(a_death_in_an_outage_stops_only_its_units)
+// An entry dies while the log is down. Its units have to wait for the log;
+// units of the others must not stop for good because the dead entry cannot
+// vouch.
+BOOST_AUTO_TEST_CASE(crash_in_log_outage_stops_only_its_units)
 {
     auto it = settled_cell({.instances = 5, .units = 20});
     auto const lost = it.acted_on_by(2).size();
@@ -177,9 +179,9 @@
     BOOST_TEST(it.conflicts() == 0U);
 }
 
-// An entry restarts while the log is down. The new process knows nothing, but
-// it answers for its instance, and the others go on.
-BOOST_AUTO_TEST_CASE(a_restart_in_an_outage_stops_only_its_units)
+// An entry restarts while the log is down. The new process has not read the
+// log, but it vouches for its instance, so the others keep their leases.
+BOOST_AUTO_TEST_CASE(restart_in_log_outage_stops_only_its_units)
 {
     auto it = settled_cell({.instances = 5, .units = 20});
     auto const lost = it.acted_on_by(2).size();
@@ -192,16 +194,16 @@
     BOOST_TEST(it.conflicts() == 0U);
 }
 
-// The machine stops an entry for a while (SIGSTOP) and lets it go on. It
-// believes that nothing has happened, and others own its units meanwhile.
-BOOST_AUTO_TEST_CASE(a_paused_owner_finds_its_right_gone)
+// An entry is paused (SIGSTOP) and resumed. It does not know that time has
+// passed and that others own its units now.
+BOOST_AUTO_TEST_CASE(resumed_owner_finds_its_lease_expired)
 {
     auto it = settled_cell({.instances = 3, .units = 9});
     auto const units = it.acted_on_by(0);
     BOOST_REQUIRE(!units.empty());
     it.pause(0, true);
     it.run(10s);
-    // Asked at the very moment it goes on, before it hears of anything.
+    // Checked at the moment of resuming, before the entry receives anything.
     BOOST_TEST(!it.at(0).active_epoch(units.front(), it.now()).has_value());
     it.pause(0, false);
     it.run(5s);
@@ -209,8 +211,8 @@
     BOOST_TEST(it.conflicts() == 0U);
 }
 
-// All entries are restarted one after another, as for a new version.
-BOOST_AUTO_TEST_CASE(a_rolling_restart_keeps_every_unit_owned)
+// All entries are restarted one after another, as in an upgrade.
+BOOST_AUTO_TEST_CASE(rolling_restart_keeps_every_unit_owned)
 {
     auto it = settled_cell({.instances = 5, .units = 20});
     for (std::size_t i = 0; i < it.size(); ++i)
@@ -227,8 +229,8 @@
     BOOST_TEST(it.conflicts() == 0U);
 }
 
-// All entries are restarted at the same moment, as after a power cut.
-BOOST_AUTO_TEST_CASE(a_restart_of_all_recovers)
+// All entries restart at the same time, as after a power failure.
+BOOST_AUTO_TEST_CASE(simultaneous_restart_of_all_recovers)
 {
     auto it = settled_cell({.instances = 5, .units = 20});
     for (std::size_t i = 0; i < it.size(); ++i)
@@ -241,9 +243,9 @@
     BOOST_TEST(it.conflicts() == 0U);
 }
 
-// An instance is added. It gets units, few at a time, and the others keep the
-// rest: a cell whose instances come and go is not shuffled.
-BOOST_AUTO_TEST_CASE(a_joiner_gets_a_share_slowly)
+// An added instance gets a share of the units, few at a time, so that instances
+// that come and go cause few moves.
+BOOST_AUTO_TEST_CASE(added_instance_gets_its_share_gradually)
 {
     auto it = settled_cell({.instances = 4, .units = 40});
     it.kill(3);
--- a/tests/ownership/simulated_cell.hpp
+++ b/tests/ownership/simulated_cell.hpp
@@ -14,8 +14,9 @@
 namespace berylhill::ownership
 {
 
-/// Entries with their tenures, a log, a lagging list and a network in virtual
-/// time, for tests and measurements of the decisions alone. Not thread-safe.
+/// A cell simulated in virtual time: entries that run the ownership protocol, a
+/// log, an endpoint list that lags, and a network. For tests and benchmarks.
+/// Not thread-safe.
 class simulated_cell
 {
 public:
@@ -36,7 +37,7 @@
 
     void run(base::duration span);
 
-    /// Ends the process at once; the list drops it after its lag.
+    /// Ends the process; the list shows it until its lag is over.
     void kill(std::size_t i);
     /// Starts a new process on the instance.
     void restart(std::size_t i);
@@ -66,16 +67,16 @@
     {
         return m_units;
     }
-    /// Units for which somebody may act now.
+    /// Number of units for which a process may act now.
     [[nodiscard]] std::size_t acted_on() const;
     /// The units for which this process may act now.
     [[nodiscard]] std::vector<std::string> acted_on_by(std::size_t i) const;
-    /// The longest time that a unit has been without an owner that may act,
-    /// since `reset_gaps`.
+    /// The longest time since `reset_gaps` in which no process could act for a
+    /// unit.
     [[nodiscard]] base::duration longest_gap() const;
     [[nodiscard]] std::size_t units_with_gap(base::duration longer_than) const;
     void reset_gaps();
-    /// Moments at which two processes might have acted for one unit.
+    /// Number of steps and units in which two processes could act for one unit.
     [[nodiscard]] std::size_t conflicts() const noexcept
     {
         return m_conflicts;
@@ -107,7 +108,7 @@
         bool cut{false};
         int starts{1};
         std::int64_t next{0};
-        /// The list shows it until then, if it is not alive.
+        /// Until when the list still shows the process after its end.
         base::instant listed_until{};
     };
     struct pending_append
--- a/tests/ownership/state_digester.hpp
+++ b/tests/ownership/state_digester.hpp
@@ -13,8 +13,8 @@
 namespace berylhill::ownership
 {
 
-/// Digests the state of tenures and of the world around them, so that the
-/// exhaustive test knows which states it has been in.
+/// Computes digests of participants and of the state around them, by which the
+/// exhaustive test recognizes states that it has visited.
 class state_digester
 {
 public:
@@ -124,9 +124,9 @@
     {
         add_all(it.complete(), it.next(), it.units(), it.members());
     }
-    /// What decides about later actions, as seen at `now`: ends that have
-    /// passed are all alike, as are tickets and numbers of rounds, and the
-    /// bookkeeping of spread and snapshots, which the test keeps constant.
+    /// Covers the state that influences later actions at `now`. Expired leases
+    /// are equivalent. Tickets and round numbers are left out, and so is the
+    /// state of rebalancing and snapshots, which the test disables.
     void add(participant const& it, base::instant now)
     {
         add_all(it.m_table, it.m_releasing, it.m_doubtful, it.m_listed,
--- a/tests/ownership/system_state.cpp
+++ b/tests/ownership/system_state.cpp
@@ -20,7 +20,7 @@
     it.zone = "z";
     it.lease_duration = base::duration{limits.lease_duration};
     it.clock_margin = {};
-    // No heartbeats: each process claims as soon as a tick lets it.
+    // No heartbeats: each process claims at its first tick that allows it.
     it.suspect_after = {};
     it.isolated_suspect_after = {};
     it.min_peers_for_isolation = 100;
@@ -110,7 +110,7 @@
         else if (std::holds_alternative<fetch_entry_list>(it) &&
                  m_bounds.deaths)
         {
-            // An older fetch is of no use to the round that has begun.
+            // An older fetch is useless for the new round.
             std::erase_if(m_fetches,
                           [&](fetch const& old) { return old.process == i; });
             m_fetches.push_back({i, m_now});
@@ -255,7 +255,7 @@
     auto const is_stopping = m_processes[i]->it.own_heartbeat().leaving;
     if (m_bounds.stops == name && !is_stopping)
     {
-        visit_changed(name + " is told to stop", visit,
+        visit_changed(name + " is asked to stop", visit,
                       [&](system_state& it)
                       { it.perform(i, it.edit(i).it.stop(at(m_now))); });
     }
@@ -310,7 +310,7 @@
     {
         if (it->dead && m_list.contains(it->name))
         {
-            visit_changed("the list drops " + it->name, visit,
+            visit_changed("the list no longer has " + it->name, visit,
                           [&](system_state& next)
                           { next.m_list.erase(it->name); });
         }
@@ -346,7 +346,8 @@
 
 state_digester::digest system_state::digest() const
 {
-    // What is under way has no order, so the digests of its parts are sorted.
+    // The order of messages and appends in flight is irrelevant, so their
+    // digests are sorted.
     std::vector<state_digester::digest> parts;
     for (auto const& each : m_appends)
     {
--- a/tests/ownership/system_state.hpp
+++ b/tests/ownership/system_state.hpp
@@ -15,19 +15,19 @@
 namespace berylhill::ownership
 {
 
-/// Some processes, the log and what is under way between them, at one moment.
-/// Every next step is a copy with one event more. Times are whole ticks of
-/// one microsecond.
+/// One state of a small cell in the exhaustive test: the processes, the log and
+/// the messages and appends in flight. Each possible step yields a changed
+/// copy. Times are in ticks of one microsecond.
 class system_state
 {
 public:
     enum class third_process_state : std::uint8_t
     {
         never,
-        /// Starts at any moment of the run.
+        /// Starts at any time in the run.
         starts,
-        /// Has joined; "p" has published that it knows it, "e" has not read
-        /// it.
+        /// Has joined; "p" has published that it knows the process, "e" has not
+        /// read the `join` record.
         joined_unknown_to_owner,
     };
 
@@ -35,32 +35,34 @@
     {
         std::int64_t lease_duration{2};
         std::int64_t horizon{6};
-        /// Claims that take effect, in the whole run; more stay under way.
+        /// Maximum number of claims that take effect in a run; others stay
+        /// pending.
         int claims{2};
-        /// Appends that the log refuses, in the whole run.
+        /// Maximum number of appends that the log refuses in a run.
         int refusals{0};
-        /// Whether process "p" may die and be dropped from the list.
+        /// Whether process "p" may die and be removed from the list.
         bool deaths{false};
-        /// The process that may be told to stop; empty for none.
+        /// The process that may be asked to stop; empty for none.
         std::string stops{};
-        /// The first process never reads the log again.
+        /// Process "e" cannot read the log any more.
         bool owner_cannot_read{false};
         third_process_state third_process{third_process_state::never};
-        /// Whether all processes tick on their own; a read ticks too.
+        /// Whether processes other than "e" tick independently of log reads.
         bool all_tick{false};
         safety_rules rules;
     };
 
-    /// "e" owns the unit; "p" has joined, and both know each other. "j" has
-    /// not started.
+    /// "e" owns the unit and "p" has joined; both know each other. "j" has not
+    /// started, unless the bounds say otherwise.
     explicit system_state(bounds limits);
 
     using visitor = std::function<void(std::string, system_state const&)>;
 
-    /// Calls `visit` with the label and the outcome of each possible step.
+    /// Calls `visit` with the label and the resulting state of each possible
+    /// step.
     void for_each_step(visitor const& visit) const;
 
-    /// Processes that may act for the unit now.
+    /// The processes that may act for the unit now.
     [[nodiscard]] std::vector<std::string> acting() const;
     [[nodiscard]] state_digester::digest digest() const;
     [[nodiscard]] std::int64_t now() const noexcept
@@ -75,7 +77,7 @@
         participant it;
         std::int64_t next{0};
         bool dead{false};
-        /// Kept, because most steps leave most processes as they are.
+        /// Cached, because most steps change only one process.
         mutable state_digester::digest digest{};
         mutable std::int64_t digested_at{-1};
     };
@@ -87,7 +89,7 @@
     struct network_message
     {
         std::string to;
-        /// The process whose round it belongs to.
+        /// The process whose vouch round the message belongs to.
         std::string asker;
         std::uint64_t round{0};
         std::variant<vouch_request, vouch_answer> message;
@@ -103,7 +105,8 @@
         return base::instant{base::duration{ticks}};
     }
     [[nodiscard]] state_digester::digest digest_of(process const& of) const;
-    /// A copy of the process to change, before its state is digested again.
+    /// Replaces the process by a copy that may be changed; drops its cached
+    /// digest.
     [[nodiscard]] process& edit(std::size_t i);
     void start(std::string const& name);
     void read(std::size_t i);
@@ -113,7 +116,7 @@
     void perform(std::size_t i, actions const& list);
     void deliver(std::size_t i);
     void answer_fetch(std::size_t i);
-    /// Letters of a round that is over change nothing any more.
+    /// Removes messages of finished rounds, which have no effect any more.
     void drop_stale_messages();
     void refuse(std::size_t i);
     void visit_process(std::size_t i, visitor const& visit) const;
@@ -127,7 +130,7 @@
 
     bounds m_bounds;
     std::int64_t m_now{1};
-    /// Shared between worlds, and copied by who changes one.
+    /// Shared between states; copied on write.
     std::vector<std::shared_ptr<process const>> m_processes;
     std::shared_ptr<std::vector<record> const> m_log;
     state_digester::digest m_log_digest;
