--- a/libraries/ownership/message.cpp
+++ b/libraries/ownership/message.cpp
@@ -8,15 +8,16 @@
 namespace
 {
 
-base::result<base::done> need_texts(Json::Value const& it,
-                                    std::initializer_list<char const*> names)
+base::result<base::done>
+require_strings(Json::Value const& it, std::initializer_list<char const*> names)
 {
     for (auto const* name : names)
     {
         if (!it.isObject() || !it[name].isString())
         {
-            return base::fail(base::failure_code::invalid,
-                              std::string{"a message without "} + name);
+            return base::fail(
+                base::failure_code::invalid,
+                std::string{"ownership message without text field "} + name);
         }
     }
     return base::done{};
@@ -68,7 +69,7 @@
 
 base::result<heartbeat> heartbeat_from(Json::Value const& it)
 {
-    BOOST_LEAF_CHECK(need_texts(it, {"incarnation", "instance", "zone"}));
+    BOOST_LEAF_CHECK(require_strings(it, {"incarnation", "instance", "zone"}));
     return heartbeat{it["incarnation"].asString(), it["instance"].asString(),
                      it["zone"].asString(),
                      it["leaving"].isBool() && it["leaving"].asBool()};
@@ -76,17 +77,17 @@
 
 base::result<suspicion> suspicion_from(Json::Value const& it)
 {
-    BOOST_LEAF_CHECK(need_texts(it, {"from", "silent"}));
+    BOOST_LEAF_CHECK(require_strings(it, {"from", "silent"}));
     return suspicion{it["from"].asString(), it["silent"].asString()};
 }
 
 base::result<vouch_request> vouch_request_from(Json::Value const& it)
 {
-    BOOST_LEAF_CHECK(need_texts(it, {"from", "instance"}));
+    BOOST_LEAF_CHECK(require_strings(it, {"from", "instance"}));
     if (!it["round"].isUInt64() || !it["table_next"].isInt64())
     {
         return base::fail(base::failure_code::invalid,
-                          "a vouch request without round or table_next");
+                          "vouch request without round or table_next");
     }
     return vouch_request{it["from"].asString(), it["instance"].asString(),
                          it["round"].asUInt64(), it["table_next"].asInt64()};
@@ -94,11 +95,11 @@
 
 base::result<vouch_answer> vouch_answer_from(Json::Value const& it)
 {
-    BOOST_LEAF_CHECK(need_texts(it, {"from", "instance"}));
+    BOOST_LEAF_CHECK(require_strings(it, {"from", "instance"}));
     if (!it["round"].isUInt64() || !it["doubtful"].isArray())
     {
         return base::fail(base::failure_code::invalid,
-                          "a vouch answer without round or doubtful");
+                          "vouch answer without round or doubtful");
     }
     vouch_answer value{it["from"].asString(),
                        it["instance"].asString(),
@@ -108,8 +109,9 @@
     {
         if (!unit.isString())
         {
-            return base::fail(base::failure_code::invalid,
-                              "a doubtful unit is not a name");
+            return base::fail(
+                base::failure_code::invalid,
+                "vouch answer with a doubtful unit that is not a string");
         }
         value.doubtful.push_back(unit.asString());
     }
--- a/tests/ownership/simulated_cell.hpp
+++ b/tests/ownership/simulated_cell.hpp
@@ -14,8 +14,9 @@
 namespace berylhill::ownership
 {
 
-/// Entries with their tenures, a log, a lagging list and a network in virtual
-/// time, for tests and measurements of the decisions alone. Not thread-safe.
+/// A cell simulated in virtual time: entries that run the ownership protocol, a
+/// log, an endpoint list that lags, and a network. For tests and benchmarks.
+/// Not thread-safe.
 class simulated_cell
 {
 public:
@@ -25,18 +26,18 @@
         std::size_t zones{3};
         std::size_t units{64};
         base::duration step{std::chrono::milliseconds{10}};
-        base::duration append_takes{std::chrono::milliseconds{30}};
-        base::duration read_every{std::chrono::milliseconds{50}};
-        base::duration tick_every{std::chrono::milliseconds{100}};
-        base::duration beat_every{std::chrono::milliseconds{300}};
+        base::duration append_duration{std::chrono::milliseconds{30}};
+        base::duration read_interval{std::chrono::milliseconds{50}};
+        base::duration tick_interval{std::chrono::milliseconds{100}};
+        base::duration heartbeat_interval{std::chrono::milliseconds{300}};
         base::duration list_lag{std::chrono::seconds{15}};
     };
 
-    explicit simulated_cell(settings of);
+    explicit simulated_cell(settings given);
 
     void run(base::duration span);
 
-    /// Ends the process at once; the list drops it after its lag.
+    /// Ends the process; the list shows it until its lag is over.
     void kill(std::size_t i);
     /// Starts a new process on the instance.
     void restart(std::size_t i);
@@ -66,16 +67,16 @@
     {
         return m_units;
     }
-    /// Units for which somebody may act now.
+    /// Number of units for which a process may act now.
     [[nodiscard]] std::size_t acted_on() const;
     /// The units for which this process may act now.
     [[nodiscard]] std::vector<std::string> acted_on_by(std::size_t i) const;
-    /// The longest time that a unit has been without an owner that may act,
-    /// since `reset_gaps`.
+    /// The longest time since `reset_gaps` in which no process could act for a
+    /// unit.
     [[nodiscard]] base::duration longest_gap() const;
     [[nodiscard]] std::size_t units_with_gap(base::duration longer_than) const;
     void reset_gaps();
-    /// Moments at which two processes might have acted for one unit.
+    /// Number of steps and units in which two processes could act for one unit.
     [[nodiscard]] std::size_t conflicts() const noexcept
     {
         return m_conflicts;
@@ -98,7 +99,7 @@
     }
 
 private:
-    struct entry_process
+    struct simulated_process
     {
         std::unique_ptr<participant> it;
         std::string instance;
@@ -107,17 +108,17 @@
         bool cut{false};
         int starts{1};
         std::int64_t next{0};
-        /// The list shows it until then, if it is not alive.
+        /// Until when the list still shows the process after its end.
         base::instant listed_until{};
     };
-    struct under_way
+    struct pending_append
     {
         base::instant due;
         std::size_t node{0};
         append_record entry;
         int start{0};
     };
-    struct letter
+    struct network_message
     {
         std::size_t from{0};
         std::string to;
@@ -126,20 +127,20 @@
 
     void create(std::size_t i);
     void perform(std::size_t i, actions const& list);
-    void write_due();
+    void complete_appends();
     void deliver();
-    void serve(std::size_t i);
-    void observe();
-    [[nodiscard]] bool every(base::duration period, std::size_t i) const;
+    void run_process(std::size_t i);
+    void record_gaps();
+    [[nodiscard]] bool is_due(base::duration period, std::size_t i) const;
     [[nodiscard]] std::set<std::string> list() const;
 
     settings m_settings;
     base::instant m_now{std::chrono::seconds{1}};
-    std::vector<entry_process> m_nodes;
+    std::vector<simulated_process> m_nodes;
     std::set<std::string> m_units;
     std::vector<record> m_log;
-    std::deque<under_way> m_appends;
-    std::vector<letter> m_letters;
+    std::deque<pending_append> m_appends;
+    std::vector<network_message> m_messages;
     bool m_log_up{true};
     std::map<std::string, base::instant> m_last_acted;
     std::map<std::string, base::duration> m_gaps;
--- a/tests/ownership/state_digester.hpp
+++ b/tests/ownership/state_digester.hpp
@@ -13,8 +13,8 @@
 namespace berylhill::ownership
 {
 
-/// Digests the state of tenures and of the world around them, so that the
-/// exhaustive test knows which states it has been in.
+/// Computes digests of participants and of the state around them, by which the
+/// exhaustive test recognizes states that it has visited.
 class state_digester
 {
 public:
@@ -106,11 +106,11 @@
     }
     void add(owner const& it)
     {
-        add_all(it.incarnation, it.epoch, it.changed, it.released);
+        add_all(it.incarnation, it.epoch, it.last_change, it.released);
     }
     void add(member const& it)
     {
-        add_all(it.instance, it.joined, it.seen);
+        add_all(it.instance, it.join_offset, it.seen_through);
     }
     void add(vouch_request const& it)
     {
@@ -124,14 +124,14 @@
     {
         add_all(it.complete(), it.next(), it.units(), it.members());
     }
-    /// What decides about later actions, as seen at `now`: ends that have
-    /// passed are all alike, as are tickets and numbers of rounds, and the
-    /// bookkeeping of spread and snapshots, which the test keeps constant.
+    /// Covers the state that influences later actions at `now`. Expired leases
+    /// are equivalent. Tickets and round numbers are left out, and so is the
+    /// state of rebalancing and snapshots, which the test disables.
     void add(participant const& it, base::instant now)
     {
         add_all(it.m_table, it.m_releasing, it.m_doubtful, it.m_listed,
                 it.m_ever_listed, it.m_stopping, it.m_left);
-        add(std::max(it.m_log_right_until, now));
+        add(std::max(it.m_log_lease_until, now));
         add(std::max(it.m_vouched_until, now));
         for (auto const& [ticket, own] : it.m_unresolved)
         {
@@ -151,7 +151,7 @@
         }
         for (auto const& [name, peer] : it.m_peers)
         {
-            add_all(name, std::max(peer.heard, now));
+            add_all(name, std::max(peer.last_heard, now));
         }
     }
 
