--- a/libraries/calls/admission.cpp
+++ b/libraries/calls/admission.cpp
@@ -63,9 +63,9 @@
     {
         if (first)
         {
-            // A joiner's peers still use the whole limit. Its own window
-            // starts with nothing, so that the limit holds until they have
-            // heard of it.
+            // Until the peers learn of a joining entry, they still use the
+            // whole limit. Its first share is therefore zero, so that the limit
+            // holds until the settling time is over.
             it.gate.set_part({}, now, m_settings.settling_time);
         }
         forget_gone(it);
@@ -249,8 +249,8 @@
         }
     }
     auto const index = static_cast<std::size_t>(self - it.homes.begin());
-    // In whole tokens: a part of less than one token would never admit a
-    // call, and its rate would be lost.
+    // In whole tokens: a share of less than one token would never admit a call,
+    // and its rate would be lost.
     auto const burst = divide_units(static_cast<double>(limits.call_burst),
                                     rates, m_settings.floor)[index];
     auto const rate = limits.call_burst > 0
@@ -264,8 +264,9 @@
 
 void admission::forget_gone(contract_state& it) const
 {
-    // What a dead entry had in flight is never reported as finished; kept, it
-    // would lower the contract's concurrency for good.
+    // The end of calls that a failed entry had in flight is never reported. If
+    // they stayed counted, they would lower the contract's concurrency
+    // permanently.
     for (auto held = it.admitted_for.begin(); held != it.admitted_for.end();)
     {
         if (held->first == m_entry || is_live(held->first))
--- a/libraries/calls/admission.hpp
+++ b/libraries/calls/admission.hpp
@@ -19,17 +19,19 @@
 
 struct admission_settings
 {
-    /// A larger part of a limit is used only after it was ours for so long,
-    /// by when every entry has heard of it. At least two gossip rounds.
+    /// A larger share of a limit is used only after it has been assigned for
+    /// this long, by which time every entry has received the demand behind it.
+    /// At least two gossip rounds.
     base::duration settling_time{std::chrono::milliseconds{1'000}};
-    /// The part of its even share that a home without demand keeps.
+    /// Fraction of its even share that a home without demand keeps.
     double floor{0.1};
-    /// Calls at once that a home has at least, as far as the limit goes: cut
-    /// smaller, one part is used up while others have room.
+    /// Minimum concurrency of a home, as far as the limit allows: with smaller
+    /// shares, one home is exhausted while others have capacity.
     double least_at_once{32};
-    /// Homes at least, so that one that dies takes only its part along.
+    /// Minimum number of homes, so that the failure of one takes only its own
+    /// share of the limit with it.
     std::size_t least_homes{3};
-    /// A home that refused is not asked again for so long.
+    /// A home that refused is not asked again for this long.
     base::duration exhausted_for{std::chrono::milliseconds{50}};
 
     friend bool operator==(admission_settings const&,
@@ -38,12 +40,12 @@
 
 enum class admission_state : std::uint8_t
 {
-    admitted, ///< Against the part of the limit that is in `home`'s hands.
+    admitted, ///< Counted against the share of the limit held by `home`.
     ask_home, ///< Ask the entry `home`, which calls `admit_for`.
     refused,
 };
 
-/// What to do with a call that asks to be admitted. A value.
+/// What to do with a call that requests admission. A value.
 struct admission_step
 {
     admission_state state{admission_state::refused};
@@ -54,71 +56,73 @@
                            admission_step const&) = default;
 };
 
-/// Admits calls at one entry, so that all entries together keep each
-/// contract's rate, burst and concurrency. A contract has a few *homes* among
-/// the entries, by rendezvous hashing; they divide its limit by their demand,
-/// which they gossip, and the others ask one of them for each call. Not
-/// thread-safe.
+/// Admits calls at one entry, so that all entries together keep each contract's
+/// rate, burst and concurrency. A contract has a few *homes* among the entries,
+/// chosen by rendezvous hashing. The homes divide its limit by their demand,
+/// which they exchange by gossip; the other entries ask one of them for each
+/// call. Not thread-safe.
 class admission
 {
 public:
-    /// `entry` is this entry's own id, as in `set_live`.
+    /// `entry` is the id of this entry, as in `set_live`.
     admission(std::string entry,
               admission_settings const& settings,
               generator random);
 
-    /// A contract came into force or changed.
+    /// Adds a contract or replaces its limits.
     void set_contract(model::contract const& it, base::instant now);
 
     void remove_contract(std::string const& name);
 
-    /// The live entries that share the limits, this one included. Until the
-    /// first call nothing is admitted, and then not before the settling time
-    /// has passed: peers have not yet given up a part for this entry. Calls
-    /// admitted for entries that are gone count as ended.
+    /// Sets the live entries that share the limits, this one included. Nothing
+    /// is admitted before the first call, nor until the settling time after it
+    /// has passed, because the peers have not yet reduced their shares for this
+    /// entry. Calls admitted for entries that are no longer live count as
+    /// finished.
     void set_live(std::vector<std::string> entries, base::instant now);
 
-    /// A peer's report came.
+    /// Stores the demand that an entry reported.
     void update_demand(entry_demand const& report);
 
-    /// Once a gossip round (5 a second): works out the shares anew and returns
-    /// this entry's demand, to be sent to all live entries.
+    /// Call once per gossip round (5 per second). Recomputes the shares and
+    /// returns the demand of this entry, to be sent to all live entries.
     [[nodiscard]] entry_demand update_shares(base::instant now);
 
-    /// The next step for a call of this entry that has asked the homes in
-    /// `tried` in vain. After `admitted`, here or at the home, `finished`
-    /// follows once, at the same entry.
+    /// Returns the next step for a call of this entry that the homes in `tried`
+    /// have refused. After an admission, here or at a home, call `finished`
+    /// exactly once at the entry that admitted the call.
     [[nodiscard]] admission_step next(std::string const& contract,
                                       std::string const& service,
                                       std::vector<std::string> const& tried,
                                       base::instant now);
 
-    /// A home that `next` named refused or could not be reached: it is not
-    /// asked for a moment.
+    /// Records that a home named by `next` refused or could not be reached. It
+    /// is not asked again for a short time.
     void mark_home_exhausted(std::string const& contract,
                              std::string const& home,
                              base::instant now);
 
-    /// Another entry asks this one, as a home. Refuses as not run.
+    /// Admits a call for another entry, as one of the contract's homes. The
+    /// returned refusal always states that the call did not run.
     [[nodiscard]] std::optional<refusal> admit_for(std::string const& peer,
                                                    std::string const& contract,
                                                    std::string const& service,
                                                    base::instant now);
 
-    /// A call that this entry admitted, for itself or for `peer`, got its
-    /// final answer after `took` and `resends` further attempts. Nothing
-    /// happens when the contract or the peer is gone meanwhile.
+    /// Records that a call which this entry admitted, for itself or for `peer`,
+    /// got its final answer after `took` and `resends` further attempts. Does
+    /// nothing if the contract or the peer has been removed since.
     void finished(std::string const& peer,
                   std::string const& contract,
                   base::duration took,
                   std::int32_t resends,
                   base::instant now);
 
-    /// The part of the contract's limits in force here; empty for a contract
-    /// that is not known.
+    /// The share of the contract's limits in force at this entry; empty for an
+    /// unknown contract.
     [[nodiscard]] limit_part part_of(std::string const& contract) const;
 
-    /// The homes of a contract; empty for one that is not known.
+    /// The homes of a contract; empty for an unknown contract.
     [[nodiscard]] std::vector<std::string>
     homes_of(std::string const& contract) const;
 
@@ -128,10 +132,10 @@
         contract_gate gate;
         /// Sorted by name.
         std::vector<std::string> homes;
-        /// By home.
+        /// Keyed by home.
         std::unordered_map<std::string, contract_demand> demands;
         std::unordered_map<std::string, base::instant> exhausted_until;
-        /// Calls in flight by the entry that asked.
+        /// Calls in flight, keyed by the entry that requested admission.
         std::unordered_map<std::string, std::int64_t> admitted_for;
     };
 
--- a/libraries/calls/attempt_rules.cpp
+++ b/libraries/calls/attempt_rules.cpp
@@ -32,8 +32,8 @@
         return next_step::deliver;
     }
     auto const not_run = surely_not_run(end) && earlier == ran::not_run;
-    // A non-idempotent call whose byte may have left would run twice; the
-    // caller would see two bookings. Only a certain "not run" is sent again.
+    // A non-idempotent call of which any byte may have been sent could run
+    // twice. It is sent again only if it certainly did not run.
     auto const may_resend = not_run || safety == model::rerun::idempotent;
     if (may_resend && room == resend_room::left)
     {
--- a/libraries/calls/attempt_rules.hpp
+++ b/libraries/calls/attempt_rules.hpp
@@ -11,53 +11,54 @@
 /// How one attempt at a call ended, as far as the calling entry knows.
 enum class attempt_end : std::uint8_t
 {
-    answered,        ///< A whole answer with the call's own request id.
+    answered,        ///< A complete answer with the request id of the call.
     not_sent,        ///< No byte left this entry.
     owner_refused,   ///< The group's owner answered that it sent nothing.
-    ownership_moved, ///< The owner gives the group away; it sent nothing.
-    minion_refused,  ///< The minion itself said that it did not run it.
-    connection_lost, ///< The connection broke after a byte may have left.
-    cut_short,       ///< A part of an answer came.
-    timed_out,       ///< Nothing came in time.
-    owner_lost,      ///< The owner went silent with the call in its hands.
+    ownership_moved, ///< The owner hands the group over; it sent nothing.
+    minion_refused,  ///< The minion answered that it did not run the call.
+    connection_lost, ///< The connection broke after a byte may have been sent.
+    cut_short,       ///< Only part of an answer arrived.
+    timed_out,       ///< No answer arrived in time.
+    owner_lost,      ///< The owner stopped answering while it held the call.
 };
 
 enum class next_step : std::uint8_t
 {
-    deliver,        ///< Pass the answer on.
+    deliver,        ///< Pass the answer on to the caller.
     resend,         ///< Try another minion.
-    refuse_not_run, ///< The final answer: it did not run.
-    refuse_unknown, ///< The final answer: it may have run.
+    refuse_not_run, ///< Final answer: the call did not run.
+    refuse_unknown, ///< Final answer: the call may have run.
 };
 
-/// What is left for further attempts at a call.
+/// Whether further attempts at a call are allowed.
 enum class resend_room : std::uint8_t
 {
     left,
-    none, ///< Budget, limit, deadline or number of attempts is used up.
+    none, ///< The budget, limit, deadline or number of attempts is exhausted.
 };
 
-/// The rules for sending a call again, in one place.
+/// The rules for resending calls.
 class attempt_rules
 {
 public:
-    /// Whether an attempt that ended so certainly did not run. Thread-safe.
+    /// Whether an attempt that ended this way certainly did not run.
+    /// Thread-safe.
     [[nodiscard]] static bool surely_not_run(attempt_end end) noexcept;
 
-    /// What follows the newest attempt. `earlier` is `unknown` when an
-    /// earlier attempt at the same call may have run: then no later attempt
-    /// makes the call "not run" again. Thread-safe.
+    /// The next step after the latest attempt. `earlier` is `unknown` when an
+    /// earlier attempt at the same call may have run; the call can then no
+    /// longer be reported as not run. Thread-safe.
     [[nodiscard]] static next_step after(attempt_end end,
                                          model::rerun safety,
                                          ran earlier,
                                          resend_room room) noexcept;
 
-    /// Whether sending again after this end comes out of the retry budget. It
-    /// does not where nobody was given work: a group changes hands, and a
-    /// planned stop would refuse calls for want of budget. Thread-safe.
+    /// Whether a resend after this end is charged to the retry budget. It is
+    /// not if no work was assigned: when a group changes its owner, a planned
+    /// stop would otherwise refuse calls for lack of budget. Thread-safe.
     [[nodiscard]] static bool costs_budget(attempt_end end) noexcept;
 
-    /// Whether a second attempt may start while the first still runs.
+    /// Whether a second attempt may start while the first is still running.
     /// Thread-safe.
     [[nodiscard]] static bool may_hedge(model::rerun safety,
                                         resend_room room) noexcept;
--- a/libraries/calls/call.hpp
+++ b/libraries/calls/call.hpp
@@ -8,17 +8,18 @@
 namespace berylhill::calls
 {
 
-/// What a decision has to know of a call; its body stays with the transport.
-/// A value.
+/// The properties of a call that decisions depend on; its body stays with the
+/// transport. A value.
 struct call
 {
     std::string request_id;
     std::string contract;
-    /// The contract's share against others, above 0.
+    /// The contract's weight in fair queueing, above 0.
     double weight{1};
-    /// On this process's clock: the caller's timeout less the way here.
+    /// On the clock of this process: the caller's timeout less the transmission
+    /// time.
     base::instant deadline;
-    /// Whether it may be sent again when it is not known if it ran.
+    /// Whether the call may be sent again when it is unknown whether it ran.
     model::rerun safety{model::rerun::at_most_once};
     model::urgency urgent{model::urgency::normal};
 
--- a/libraries/calls/call_dispatcher.cpp
+++ b/libraries/calls/call_dispatcher.cpp
@@ -9,11 +9,13 @@
 namespace
 {
 
-/// When no group is known, one may be by then.
+/// Retry-After when no group is known, in seconds; a group may have been
+/// announced by then.
 constexpr double s_no_group_retry_s = 1;
-/// An owner gives up a little before the caller's deadline, so that its word
-/// on whether the call ran is here in time: at most this, and at most this
-/// part of what is left.
+/// An owner gives up slightly before the caller's deadline, so that its
+/// statement on whether the call ran arrives in time. The margin is at most
+/// this time and at most this fraction (one in s_answer_part) of the remaining
+/// time.
 constexpr base::duration s_answer_way{std::chrono::milliseconds{5}};
 constexpr std::int32_t s_answer_part = 10;
 
@@ -243,7 +245,8 @@
     {
     case plan_kind::give_up:
     {
-        // An attempt in an owner's hands may be with a minion already.
+        // An attempt that an owner holds may already have been sent to a
+        // minion.
         auto const open =
             std::any_of(planned.attempts.begin(), planned.attempts.end(),
                         [](attempt const& each) { return each.open; });
@@ -276,11 +279,13 @@
                                    attempt_end end,
                                    base::instant now)
 {
-    // A full owner says nothing of the others, but most are full together.
+    // A refusal by one full owner does not tell the load of the others, but
+    // most groups are usually full at the same time.
     auto const room = end == attempt_end::owner_refused
                           ? wanted_room::short_queue
                           : wanted_room::any;
-    // With nowhere to go the caller hears so now, and not after the back-off.
+    // Without a candidate group, the caller is refused now rather than after
+    // the back-off.
     if (!m_router.offers(it.service, tried(it), room, now))
     {
         return false;
--- a/libraries/calls/call_dispatcher.hpp
+++ b/libraries/calls/call_dispatcher.hpp
@@ -19,25 +19,26 @@
 namespace berylhill::calls
 {
 
-/// How an attempt ended, as its owner or the connection to it says.
+/// How an attempt ended, as reported by its owner or by the connection to the
+/// owner.
 struct attempt_report
 {
     std::string attempt_id;
     attempt_end end{attempt_end::answered};
-    /// The owner's reason, where it gave one.
+    /// The owner's reason, if it gave one.
     std::optional<refusal> why;
 
     friend bool operator==(attempt_report const&,
                            attempt_report const&) = default;
 };
 
-/// The end of an attempt that an owner refused. `not_run` of a minion is told
-/// apart from the owner's own.
+/// How an attempt that an owner refused ended. Distinguishes a `not_run` of a
+/// minion from one of the owner.
 [[nodiscard]] attempt_end attempt_end_of(refusal const& why) noexcept;
 
-/// An entry's admitted calls on their way: which owner gets a call, when it is
-/// sent again or a second time, and when its caller gets the final answer.
-/// Each started call gets exactly one of `deliver_attempt` and
+/// Dispatches the admitted calls of an entry: chooses the owner that gets a
+/// call, resends and hedges calls, and determines when a caller gets the final
+/// answer. Each started call gets exactly one of `deliver_attempt` and
 /// `refuse_request`, at its deadline at the latest. Not thread-safe.
 class call_dispatcher
 {
@@ -46,39 +47,41 @@
                     retry_settings const& retries,
                     generator random);
 
-    /// A digest came, by gossip or with an owner's answer.
+    /// Applies a digest received by gossip or with an owner's answer.
     void update_group(group_digest const& it, base::instant now);
 
-    /// The group has no owner any more, or another one from now on.
+    /// Removes a group that has lost its owner or has got a new one.
     void remove_group(std::string const& group);
 
-    /// An admitted call. Precondition: its request id is new here.
+    /// Dispatches an admitted call. Precondition: its request id is not in use
+    /// here.
     [[nodiscard]] dispatch_actions
     start(call const& it, std::string const& service, base::instant now);
 
-    /// An attempt ended. One that nobody waits for does nothing: a late or
-    /// doubled answer never reaches a caller.
+    /// Handles the end of an attempt. An attempt that is no longer awaited is
+    /// ignored, so that a late or duplicate answer never reaches a caller.
     [[nodiscard]] dispatch_actions attempt_ended(attempt_report const& it,
                                                  base::instant now);
 
-    /// The caller has gone away: its attempts are cancelled.
+    /// Cancels all attempts of a request whose caller has disconnected.
     [[nodiscard]] dispatch_actions cancel(std::string const& request_id);
 
-    /// Sends what backed off, hedges, and gives up at deadlines. Call at
-    /// `next_expiry()` or a little later.
+    /// Sends due resends and hedges, and refuses calls whose deadline has
+    /// passed. Call at `next_expiry()` or shortly after.
     [[nodiscard]] dispatch_actions expire(base::instant now);
 
-    /// Empty when nothing is planned.
+    /// When `expire` is due; empty if no timer is set.
     [[nodiscard]] std::optional<base::instant> next_expiry() const;
 
-    /// Calls without a final answer.
+    /// Number of calls without a final answer.
     [[nodiscard]] std::size_t in_flight() const noexcept
     {
         return m_requests.size();
     }
 
-    /// Further attempts at this call so far, for `admission::finished`; 0 for
-    /// one that is not known. Ask before its final answer is out.
+    /// Number of further attempts at this call so far, for
+    /// `admission::finished`; 0 for an unknown call. Call before the call's
+    /// final answer is returned.
     [[nodiscard]] std::int32_t resends(std::string const& request_id) const;
 
     [[nodiscard]] bool knows_service(std::string const& service) const
@@ -92,7 +95,7 @@
         std::string id;
         route to;
         bool open{true};
-        /// Nobody was given work; the same group may be asked again.
+        /// No work was assigned; the same group may be asked again.
         bool moved{false};
     };
     struct request
@@ -132,11 +135,12 @@
     void plan_hedge(request const& it, route const& to, base::instant now);
     void run_plan(plan const& it, base::instant now, dispatch_actions& out);
     void hedge(request& it, base::instant now, dispatch_actions& out);
-    /// False where no group would take it.
+    /// Returns false if no group has the required capacity.
     [[nodiscard]] bool
     resend_later(request& it, attempt_end end, base::instant now);
     [[nodiscard]] static std::vector<std::string> tried(request const& it);
-    /// Attempts that an owner took or refused for want of room.
+    /// Number of attempts that an owner accepted, or refused for lack of
+    /// capacity.
     [[nodiscard]] static std::int32_t sent(request const& it);
     void finish(std::string const& request_id,
                 std::string const& answered,
@@ -148,7 +152,7 @@
     router m_router;
     retry_budget m_budget;
     std::unordered_map<std::string, request> m_requests;
-    /// Request ids by attempt id.
+    /// Request ids, keyed by attempt id.
     std::unordered_map<std::string, std::string> m_attempts;
     std::priority_queue<plan, std::vector<plan>, std::greater<>> m_plans;
 };
--- a/libraries/calls/call_outcome.hpp
+++ b/libraries/calls/call_outcome.hpp
@@ -11,30 +11,30 @@
 namespace berylhill::calls
 {
 
-/// What a refusal says about the work. `not_run` is a promise.
+/// Whether the call may have run. `not_run` is a guarantee.
 enum class ran : std::uint8_t
 {
     not_run,
     unknown,
 };
 
-/// Why a call got no answer of its service.
+/// Why a call got no answer from its service.
 enum class refusal_code : std::uint8_t
 {
-    malformed,           ///< The request itself is wrong.
+    malformed,           ///< The request is malformed.
     unknown_contract,    ///< No such contract is in force.
-    service_not_allowed, ///< The contract does not name this service.
+    service_not_allowed, ///< The contract does not include this service.
     no_such_service,     ///< No minion of this service is known.
-    rate_limited,        ///< Above the contract's calls a second.
-    too_many_at_once,    ///< Above the contract's calls at once.
-    overloaded,          ///< No room in time on any minion.
-    deadline_too_short,  ///< It cannot be answered before its deadline.
-    no_minion,           ///< No minion takes work now.
-    minion_refused,      ///< The minion could not be reached, or said no.
-    log_unavailable,     ///< The intent could not be written.
-    key_in_progress,     ///< The first call with this key still runs.
-    key_conflict,        ///< Another body came under this key before.
-    outcome_unknown,     ///< It was sent and no whole answer came.
+    rate_limited,        ///< The contract's calls per second are exceeded.
+    too_many_at_once,    ///< The contract's concurrent calls are exceeded.
+    overloaded,          ///< No minion has a free slot in time.
+    deadline_too_short,  ///< The call cannot be answered before its deadline.
+    no_minion,           ///< No minion accepts work at present.
+    minion_refused,      ///< The minion could not be reached, or refused.
+    log_unavailable,     ///< The intent could not be written to the log.
+    key_in_progress,     ///< The first call with this key is still in progress.
+    key_conflict,        ///< The key was used with a different request.
+    outcome_unknown,     ///< The call was sent and no complete answer arrived.
     stopping,            ///< This entry is shutting down.
 };
 
@@ -42,25 +42,25 @@
 [[nodiscard]] std::string_view name_of(ran it) noexcept;
 [[nodiscard]] std::string_view name_of(refusal_code it) noexcept;
 
-/// The value with this name. Names from a newer version become `unknown` and
-/// `outcome_unknown`, which are never false promises.
+/// The value with this name. Names introduced by a newer version map to
+/// `unknown` and `outcome_unknown`, which guarantee nothing.
 [[nodiscard]] ran execution_state_from(std::string_view name) noexcept;
 [[nodiscard]] refusal_code refusal_code_from(std::string_view name) noexcept;
 
-/// The final answer to a call that was given up on. A value.
+/// The final answer to a call that is not answered by its service. A value.
 struct refusal
 {
     ran execution{ran::unknown};
     refusal_code code{refusal_code::outcome_unknown};
-    /// For people.
+    /// A human-readable explanation.
     std::string reason;
-    /// Seconds until asking again makes sense; 0 where it never does.
+    /// Seconds until a retry makes sense; 0 if it never does.
     double retry_after_s{0};
 
     friend bool operator==(refusal const&, refusal const&) = default;
 };
 
-/// How a call ended: the service's whole answer, or a refusal. A value.
+/// How a call ended: the complete answer of the service, or a refusal. A value.
 class call_outcome
 {
 public:
--- a/libraries/calls/call_queue.cpp
+++ b/libraries/calls/call_queue.cpp
@@ -14,10 +14,11 @@
     if (added)
     {
         lane.weight = it.weight;
-        // A contract that comes back starts level with the others: what it
-        // did not use while away is not owed to it. What it used just before
-        // counts: else one call at a time would always be served first, and
-        // the contracts that wait with many would starve.
+        // A contract that returns to the queue starts level with the others:
+        // turns that it did not use while it had no calls are not credited. The
+        // turns it used shortly before do count; otherwise a contract with one
+        // call at a time would always be served first and contracts with many
+        // waiting calls would starve.
         auto const left = m_left.find(it.contract);
         lane.start = left == m_left.end()
                          ? m_virtual_time
--- a/libraries/calls/call_queue.hpp
+++ b/libraries/calls/call_queue.hpp
@@ -14,35 +14,37 @@
 namespace berylhill::calls
 {
 
-/// Calls that wait for a slot, served by weight: a contract of weight 2 gets
-/// two turns for one of a contract of weight 1 while both wait (start-time
-/// fair queueing). Within a contract urgent calls come first, then the oldest.
-/// Not thread-safe.
+/// Queue of calls that wait for a slot, served by weight (start-time fair
+/// queueing): while both wait, a contract of weight 2 gets two turns for each
+/// turn of a contract of weight 1. Within a contract, urgent calls come first,
+/// then the oldest. Not thread-safe.
 class call_queue
 {
 public:
-    /// Precondition: the weight is above 0 and the request id is not queued.
+    /// Adds a call. Precondition: its weight is above 0 and its request id is
+    /// not queued.
     void push(call it);
 
-    /// Takes the call whose turn it is.
+    /// Removes and returns the next call in fair order.
     [[nodiscard]] std::optional<call> pop();
 
-    /// Takes the newest call of the contract that waits with most for its
-    /// weight, the newest normal call before an urgent one. Refusing that one
-    /// leaves the calls that waited longest, which are nearest to their turn.
+    /// Removes and returns the newest call of the contract with the most
+    /// waiting calls relative to its weight, normal calls before urgent ones.
+    /// This keeps the calls that have waited longest and are nearest to being
+    /// served.
     [[nodiscard]] std::optional<call> shed();
 
-    /// Takes the call with this id, if it waits.
+    /// Removes and returns the call with this id, if it is queued.
     [[nodiscard]] std::optional<call> remove(std::string const& request_id);
 
-    /// Takes all calls with a deadline before `least`.
+    /// Removes and returns all calls with a deadline before `least`.
     [[nodiscard]] std::vector<call> take_due(base::instant least);
 
-    /// How many calls would be served before a further call of this contract,
-    /// as far as the calls here now tell.
+    /// Estimates how many queued calls would be served before a further call of
+    /// this contract, given the calls queued now.
     [[nodiscard]] double turns_before(call const& it) const;
 
-    /// The earliest deadline here.
+    /// The earliest deadline of the queued calls.
     [[nodiscard]] std::optional<base::instant> earliest_deadline() const;
 
     [[nodiscard]] std::size_t size() const noexcept
@@ -59,7 +61,7 @@
     struct contract_lane
     {
         double weight{1};
-        /// Virtual time at which its next call starts.
+        /// Virtual start time of the contract's next call.
         double start{0};
         std::deque<call> urgent;
         std::deque<call> normal;
@@ -73,11 +75,13 @@
     void forget_if_empty(std::string const& contract);
     [[nodiscard]] call taken(call it);
 
-    /// Lanes with calls only, so that memory follows the calls that wait.
+    /// Contracts with queued calls only, so that memory use follows the number
+    /// of queued calls.
     std::map<std::string, contract_lane> m_lanes;
-    /// Where lanes without calls would go on, until the virtual time is there.
+    /// Virtual start times of contracts without queued calls, kept until the
+    /// virtual time has passed them.
     std::map<std::string, double> m_left;
-    /// Lanes by the start of their next call.
+    /// Contracts ordered by the virtual start time of their next call.
     std::set<std::pair<double, std::string>> m_turns;
     std::multiset<base::instant> m_deadlines;
     double m_virtual_time{0};
--- a/libraries/calls/contract_gate.cpp
+++ b/libraries/calls/contract_gate.cpp
@@ -9,16 +9,17 @@
 namespace
 {
 
-/// Weight of the newest measurement in a smoothed value.
+/// Weight of the newest measurement in the moving average.
 constexpr double s_newest = 0.2;
-/// What is left of a demand after a report without any.
+/// Factor by which a demand decays per report without new demand.
 constexpr double s_fade = 0.7;
-/// Below this, a demand is noise and is left out of the gossip.
+/// Demand below this is noise and is not gossiped.
 constexpr double s_least_demand = 0.01;
-/// The shortest span over which refused clients are spread, in seconds.
+/// Minimum time over which the retries of refused clients are spread, in
+/// seconds.
 constexpr double s_least_spread_s = 0.5;
-/// A client that is told to wait longer than this would hear of a change of
-/// the shares too late.
+/// Maximum Retry-After, in seconds: a client that waited longer would learn of
+/// a change of the shares too late.
 constexpr double s_longest_retry_s = 30;
 
 limit_part least_of(limit_part const& a, limit_part const& b)
@@ -51,17 +52,17 @@
                              base::duration settle)
 {
     refill(now);
-    // A process that was stopped for a while comes back with the part it had:
-    // its peers may have dropped it and use that part. It starts again with
-    // nothing, and has heard of them when the settling time is over.
+    // A process that was suspended for a while resumes with its old share,
+    // which its peers may have reassigned meanwhile. It restarts from zero and
+    // has received their demand when the settling time is over.
     if (!m_parts.empty() && now - m_parts.back().first > settle)
     {
         m_parts.emplace_back(now, limit_part{});
     }
     m_parts.emplace_back(now, part);
     m_valid_until = now + settle;
-    // One part older than the settling time stays: it was in force at the
-    // window's start.
+    // Keep one share older than the settling time: it was in force at the start
+    // of the window.
     while (m_parts.size() > 1 && m_parts[1].first <= now - settle)
     {
         m_parts.pop_front();
@@ -164,8 +165,8 @@
                               double freed_per_s,
                               generator& random) const
 {
-    // Those refused just before are ahead of this one: told the same time, they
-    // would all come back at once and be refused again.
+    // Clients refused earlier will retry before this one. If all were given the
+    // same time, they would retry simultaneously and be refused again.
     auto const spread =
         freed_per_s > 0 ? m_refused / freed_per_s : s_longest_retry_s;
     auto const latest = std::clamp(spread, s_least_spread_s, s_longest_retry_s);
--- a/libraries/calls/contract_gate.hpp
+++ b/libraries/calls/contract_gate.hpp
@@ -14,7 +14,7 @@
 namespace berylhill::calls
 {
 
-/// The part of a contract's limits that one entry may use.
+/// The share of a contract's limits that one entry may use.
 struct limit_part
 {
     double calls_per_s{0};
@@ -24,8 +24,9 @@
     friend bool operator==(limit_part const&, limit_part const&) = default;
 };
 
-/// Admits one contract's calls at one entry: a token bucket and a count, both
-/// over this entry's part of the limit. Not thread-safe.
+/// Admits the calls of one contract at one entry: a token bucket and a
+/// concurrency limit, both for this entry's share of the contract's limits. Not
+/// thread-safe.
 class contract_gate
 {
 public:
@@ -33,30 +34,33 @@
 
     void set_limits(model::contract const& limits);
 
-    /// The part that the demands of all entries give this one now. A smaller
-    /// part is in force at once, a larger one when every part computed since
-    /// `settle` ago was as large: until then another entry may still use it.
-    /// Set it every gossip round: a part not set for `settle` admits nothing.
+    /// Sets the share that follows from the current demand of all entries. A
+    /// smaller share takes effect immediately; a larger one once every share
+    /// computed within the last `settle` was as large, because until then
+    /// another entry may still use it. Call every gossip round: a share that
+    /// has not been set for `settle` admits nothing.
     void
     set_part(limit_part const& part, base::instant now, base::duration settle);
 
-    /// Admits a call, or says why not. Ends with `finish` when admitted.
+    /// Admits a call or returns the reason for refusing it. An admitted call
+    /// must be ended with `finish` or `drop`.
     [[nodiscard]] std::optional<refusal> admit(base::instant now,
                                                generator& random);
 
-    /// An admitted call got its final answer after `took` and `resends`
-    /// further attempts. Those are paid afterwards: the next calls wait until
-    /// the rate has made up for them. Precondition: `in_flight() > 0`.
+    /// Ends an admitted call that got its final answer after `took` and
+    /// `resends` further attempts. The resends are charged afterwards:
+    /// following calls wait until the rate has made up for them. Precondition:
+    /// `in_flight() > 0`.
     void finish(base::duration took, std::int32_t resends, base::instant now);
 
-    /// An admitted call whose entry is gone ends without a word.
+    /// Ends an admitted call whose entry has left, without measuring it.
     /// Precondition: `in_flight() > 0`.
     void drop();
 
-    /// The refusal for a call that found every home used up.
+    /// The refusal for a call for which every home is exhausted.
     [[nodiscard]] refusal refuse_as_exhausted(generator& random);
 
-    /// What callers asked for since the last report, smoothed.
+    /// The smoothed demand of callers since the last report.
     [[nodiscard]] contract_demand report(base::instant now);
 
     [[nodiscard]] model::contract const& limits() const noexcept
@@ -81,21 +85,21 @@
 
     model::contract m_limits;
     limit_part m_part;
-    /// Parts computed within the settling time, the oldest first.
+    /// Shares computed within the settling time, oldest first.
     std::deque<std::pair<base::instant, limit_part>> m_parts;
     double m_tokens{0};
     base::instant m_refilled;
-    /// The part counts until here unless it is set again.
+    /// The share is valid until this time unless it is set again.
     base::instant m_valid_until;
     std::int64_t m_in_flight{0};
     std::int64_t m_peak{0};
     std::int64_t m_offered{0};
-    /// Within about a second; what is older fades.
+    /// Recent refusals, decaying over about a second.
     double m_refused{0};
     std::int64_t m_refused_at_once{0};
     base::instant m_reported;
     contract_demand m_demand;
-    /// Of finished calls, smoothed; in seconds.
+    /// Smoothed duration of finished calls, in seconds.
     double m_took_s{0.1};
 };
 
--- a/libraries/calls/dispatch_action.hpp
+++ b/libraries/calls/dispatch_action.hpp
@@ -12,10 +12,10 @@
 {
 
 /// Offer the call to the owner of this group under the attempt's own request
-/// id, and report `attempt_ended` once.
+/// id, and report the result once with `attempt_ended`.
 struct send_to_owner
 {
-    /// Of the caller's request; `attempt.request_id` names the attempt.
+    /// Id of the caller's request; `attempt.request_id` identifies the attempt.
     std::string request_id;
     call attempt;
     route to;
@@ -34,7 +34,7 @@
                            deliver_attempt const&) = default;
 };
 
-/// Give the caller this final answer now.
+/// Send this final answer to the caller now.
 struct refuse_request
 {
     std::string request_id;
@@ -44,7 +44,7 @@
                            refuse_request const&) = default;
 };
 
-/// Nobody waits for this attempt any more; the owner may give up on it.
+/// The attempt is no longer awaited; its owner may give up on it.
 struct cancel_attempt
 {
     std::string attempt_id;
--- a/libraries/calls/ejection_rules.cpp
+++ b/libraries/calls/ejection_rules.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-/// A minion fails clearly more than its peers from this multiple on.
+/// A minion's failure rate is an outlier if it is at least this multiple of the
+/// median of its peers.
 constexpr double s_clearly_more = 2;
 
 template <class T>
@@ -18,7 +19,8 @@
     {
         return T{};
     }
-    // The lower one of two: the better peer is what a minion could be.
+    // Of two middle values, take the lower one: the better peer shows what a
+    // minion can achieve.
     auto const middle =
         values.begin() + static_cast<std::ptrdiff_t>((values.size() - 1) / 2);
     std::nth_element(values.begin(), middle, values.end());
--- a/libraries/calls/ejection_rules.hpp
+++ b/libraries/calls/ejection_rules.hpp
@@ -9,30 +9,32 @@
 namespace berylhill::calls
 {
 
-/// What a minion is compared with. A value.
+/// Statistics of a minion's peers, for comparison. A value.
 struct peer_figures
 {
-    /// Peers that take calls and are known well enough.
+    /// Number of peers that are active and have ended enough calls to be
+    /// judged.
     std::size_t peers{0};
-    /// Medians over them.
+    /// Medians over these peers.
     base::duration run{0};
     double failing{0};
-    /// When the last good answer of any of them came.
+    /// Time of the last successful answer of any peer.
     base::instant last_good;
 
     friend bool operator==(peer_figures const&, peer_figures const&) = default;
 };
 
-/// How much a slow minion still helps.
+/// Whether a slow minion is still useful.
 enum class slow_help : std::uint8_t
 {
-    none,    ///< There is room on its peers, or it answers too late.
-    in_time, ///< Calls wait, and its answers still come in time.
+    none,    ///< Its peers have free slots, or its answers come too late.
+    in_time, ///< Calls are queued, and its answers still come in time.
 };
 
-/// When a minion is taken out of use: by comparison with its peers, so that a
-/// fault that all share (a database behind them, hopeless requests) takes none
-/// out, and never so many that the rest could not carry the load.
+/// Decides when a minion is ejected. It is compared with its peers, so that a
+/// failure that affects all of them (a shared database, invalid requests)
+/// ejects none, and never so many are ejected that the rest could not carry the
+/// load.
 class ejection_rules
 {
 public:
@@ -44,20 +46,22 @@
     [[nodiscard]] static peer_figures
     figures_of(std::vector<minion_health const*> const& peers);
 
-    /// Whether its answers so far are bad enough against its peers'.
+    /// Whether the minion's answers are bad enough, compared with those of its
+    /// peers, to eject it.
     [[nodiscard]] bool is_outlier(minion_health const& it,
                                   peer_figures const& peers,
                                   slow_help help) const;
 
-    /// From when on a running call counts as a sign of a silent minion.
+    /// Running time after which a call counts as a sign that its minion has
+    /// stopped answering.
     [[nodiscard]] base::duration silence(peer_figures const& peers) const;
 
-    /// Whether it has said nothing for so long while a peer has answered.
+    /// Whether the minion has not answered for that long while a peer has.
     [[nodiscard]] bool is_silent(minion_health const& it,
                                  peer_figures const& peers,
                                  base::instant now) const;
 
-    /// Whether one more of `all` minions may be out when `out` are.
+    /// Whether another of `all` minions may be ejected when `out` already are.
     [[nodiscard]] bool may_eject(std::size_t all, std::size_t out) const;
 
 private:
--- a/libraries/calls/entry_demand.hpp
+++ b/libraries/calls/entry_demand.hpp
@@ -6,21 +6,22 @@
 namespace berylhill::calls
 {
 
-/// What one entry's callers ask of one contract. A value.
+/// Demand of one entry's callers on one contract. A value.
 struct contract_demand
 {
     std::string contract;
-    /// Offered, admitted or not.
+    /// Offered calls per second, admitted or not.
     double calls_per_s{0};
-    /// At its peak since the last report, those refused for it included.
+    /// Peak concurrency since the last report, including calls refused by the
+    /// concurrency limit.
     double at_once{0};
 
     friend bool operator==(contract_demand const&,
                            contract_demand const&) = default;
 };
 
-/// What an entry gossips, so that all divide the limits alike. Contracts
-/// without demand are left out. A value.
+/// The demand that an entry gossips, so that all entries compute the same
+/// division of the limits. Contracts without demand are omitted. A value.
 struct entry_demand
 {
     std::string entry;
--- a/libraries/calls/generator.hpp
+++ b/libraries/calls/generator.hpp
@@ -6,12 +6,12 @@
 namespace berylhill::calls
 {
 
-/// Where decisions take their random numbers from: the same numbers from the
-/// same seed on every machine, which the standard's distributions do not
-/// promise.
+/// The random number generator for decisions. Unlike with the standard
+/// library's distributions, the same seed gives the same numbers on every
+/// platform.
 using generator = boost::random::mt19937_64;
 
-/// A number from `low` up to, not including, `high`. Precondition: low < high.
+/// A random number in [low, high). Precondition: low < high.
 [[nodiscard]] inline double uniform(generator& random, double low, double high)
 {
     return boost::random::uniform_real_distribution<double>{low, high}(random);
--- a/libraries/calls/group_digest.hpp
+++ b/libraries/calls/group_digest.hpp
@@ -8,24 +8,25 @@
 namespace berylhill::calls
 {
 
-/// What a group's owner gossips of it: enough to choose between groups, and
-/// never trusted for more, as it may be late. A value.
+/// The load summary that the owner of a group gossips. It may be out of date
+/// and is used only to choose between groups. A value.
 struct group_digest
 {
     std::string group;
     std::string service;
-    /// The entry that owns the group, and the epoch of its right.
+    /// The entry that owns the group, and the epoch of its ownership lease.
     std::string owner;
     std::int64_t epoch{0};
-    /// Rises with each digest of this owner and epoch.
+    /// Increases with each digest of this owner and epoch.
     std::int64_t sequence{0};
-    /// Slots on minions that take work, and those of them in use.
+    /// Usable slots on the group's minions, and how many of them are in use.
     std::int32_t slots{0};
     std::int32_t busy{0};
     std::int32_t queued{0};
-    /// What a call takes on a minion of the group, smoothed.
+    /// Smoothed running time of a call on a minion of the group.
     base::duration run_time{0};
-    /// What a call of an average contract would wait for its slot now.
+    /// Expected time that a call of a contract with average weight would wait
+    /// for a slot now.
     base::duration expected_wait{0};
 
     friend bool operator==(group_digest const&, group_digest const&) = default;
--- a/libraries/calls/idempotency_table.cpp
+++ b/libraries/calls/idempotency_table.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/// When a repeat of a call in progress may find its answer, in seconds.
+/// Retry-After for a repeat of a call in progress, in seconds.
 constexpr double s_ask_again_s = 1;
 
 } // namespace
@@ -23,7 +23,7 @@
     auto const [found, added] = m_entries.try_emplace(key);
     auto& known = found->second;
     auto const again = !added && known.intent.request_id == it.request_id;
-    // A first call that did not run leaves the key to the next one.
+    // A first call that did not run releases the key for the next one.
     auto const unused = !added && known.outcome &&
                         !known.outcome->is_answer() &&
                         known.outcome->why().execution == ran::not_run &&
@@ -34,8 +34,8 @@
     }
     known.intent = it;
     known.outcome.reset();
-    // An intent of a process that was declared gone may be read late: its
-    // outcome will never come.
+    // The intent of a process that was declared lost may be read late; its
+    // outcome will never be written.
     known.unknown = m_gone.contains(it.incarnation);
     m_open[it.incarnation].insert(key);
     touch_entry(key, known, now);
@@ -53,7 +53,7 @@
         return;
     }
     found->second.outcome = it.outcome;
-    // A result that was in flight when its writer went is the truth.
+    // A result that was in flight when its writer was lost is valid.
     found->second.unknown = false;
     auto const open = m_open.find(found->second.intent.incarnation);
     if (open != m_open.end())
@@ -133,7 +133,7 @@
         return {ran::not_run, refusal_code::key_conflict,
                 "another request was made under this key", 0};
     case key_state::in_progress:
-        // It speaks of the first call, which may well have run by now.
+        // The refusal refers to the first call, which may already have run.
         return {ran::unknown, refusal_code::key_in_progress,
                 "the first call with this key is in progress", s_ask_again_s};
     case key_state::unused:
@@ -168,7 +168,7 @@
 
 std::string idempotency_table::flat(idempotency_key const& it)
 {
-    // The length first: no contract's name can reach into another's keys.
+    // The length prefix keeps the keys of different contracts distinct.
     return std::to_string(it.contract.size()) + ":" + it.contract + it.key;
 }
 
--- a/libraries/calls/idempotency_table.hpp
+++ b/libraries/calls/idempotency_table.hpp
@@ -14,8 +14,8 @@
 namespace berylhill::calls
 {
 
-/// Names one call under an Idempotency-Key; keys of different contracts never
-/// meet. A value.
+/// Identifies one call by its Idempotency-Key. Keys are scoped by contract. A
+/// value.
 struct idempotency_key
 {
     std::string contract;
@@ -30,77 +30,81 @@
 {
     idempotency_key key;
     std::string request_id;
-    /// Of method, target and body: the same key for another request is a
-    /// conflict.
+    /// Fingerprint of method, target and body: the same key with another
+    /// request is a conflict.
     std::uint64_t fingerprint{0};
-    /// The entry that holds the call, as a process: a restart is another one.
+    /// The process of the entry that handles the call; a restarted process has
+    /// a new incarnation.
     std::string incarnation;
 
     friend bool operator==(call_intent const&, call_intent const&) = default;
 };
 
-/// Written to the log before the answer is given to the caller.
+/// Written to the log before the caller is answered.
 struct call_result
 {
     idempotency_key key;
-    /// Of the intent that it ends.
+    /// Request id of the intent that this result completes.
     std::string request_id;
     call_outcome outcome;
 
     friend bool operator==(call_result const&, call_result const&) = default;
 };
 
-/// What a call with a key finds.
+/// State of an idempotency key.
 enum class key_state : std::uint8_t
 {
-    unused,          ///< Never used, or its first call did not run.
-    answered,        ///< The first call's answer is there.
-    in_progress,     ///< The first call is still in somebody's hands.
-    outcome_unknown, ///< The first call may have run; nobody will learn more.
-    conflict,        ///< Another request came under this key.
+    unused,          ///< Never used, or the first call did not run.
+    answered,        ///< The answer of the first call is known.
+    in_progress,     ///< The first call is still being handled.
+    outcome_unknown, ///< The first call may have run; its outcome will not
+                     ///< become known.
+    conflict,        ///< Another request was made with this key.
 };
 
-/// The fold of the calls stream of the log: what is known of each
-/// Idempotency-Key. Every entry that folds the same records finds the same.
+/// State of each Idempotency-Key, built by applying the records of the log's
+/// calls stream. Every entry that applies the same records gets the same state.
 /// Not thread-safe.
 class idempotency_table
 {
 public:
-    /// `retention` is how long a key is remembered after its last record;
-    /// `most` bounds the keys held.
+    /// `retention` is how long a key is kept after its last record; `most` is
+    /// the maximum number of keys.
     idempotency_table(base::duration retention, std::size_t most);
 
-    /// Folds an intent. Returns whether it is the key's first, so that its
-    /// writer may send the call; of two entries that wrote the same key, the
-    /// log's order says which one may.
+    /// Applies an intent. Returns whether it is the first one for its key, so
+    /// that its writer may send the call; if two entries wrote the same key,
+    /// the order of the log decides.
     [[nodiscard]] bool apply(call_intent const& it, base::instant now);
 
-    /// Folds a result. One that ends another intent than the key's is ignored.
+    /// Applies a result. A result for another intent than the one stored for
+    /// its key is ignored.
     void apply(call_result const& it, base::instant now);
 
-    /// A process is gone for good (out of the view, or its own log fence is
-    /// past): what it held can no longer be learned.
+    /// Marks the open calls of a process as outcome unknown. Call when the
+    /// process is permanently lost (removed from the membership view, or past
+    /// its own log fence): their results can no longer be learned.
     void mark_writer_lost(std::string const& incarnation, base::instant now);
 
-    /// What a call with this key and fingerprint finds. Ask after reading the
-    /// log up to its end; `fresh` allows writing an intent, and only a first
-    /// intent that was read back allows sending.
+    /// The state of the key for a call with this fingerprint. Call after
+    /// reading the log up to its end. `unused` allows writing an intent; only a
+    /// first intent that has been read back allows sending.
     [[nodiscard]] key_state state_of(idempotency_key const& key,
                                      std::uint64_t fingerprint) const;
 
-    /// The first call's outcome, where `find` says `answered`.
+    /// The outcome of the first call, if `state_of` returns `answered`.
     [[nodiscard]] std::optional<call_outcome>
     outcome_of(idempotency_key const& key) const;
 
-    /// The final answer to a repeat in this state, other than `fresh` and
-    /// `answered`.
+    /// The final answer to a repeat in this state. Precondition: the state is
+    /// not `unused` or `answered`.
     [[nodiscard]] static refusal refusal_for(key_state state);
 
-    /// Forgets keys whose retention is over.
+    /// Removes keys whose retention has passed.
     void expire(base::instant now);
 
-    /// A new key must be refused as not run while this holds: forgetting a
-    /// key early would let its repeat run a second time.
+    /// Whether the table is full. While it is, new keys must be refused as not
+    /// run: evicting a key early would let its repeat run a second time.
     [[nodiscard]] bool full() const noexcept
     {
         return m_entries.size() >= m_most;
@@ -131,9 +135,9 @@
     base::duration m_retention;
     std::size_t m_most;
     std::unordered_map<std::string, entry> m_entries;
-    /// Open intents of each incarnation.
+    /// Open intents, keyed by incarnation.
     std::unordered_map<std::string, std::unordered_set<std::string>> m_open;
-    /// Incarnations that are gone, until no record of theirs can come.
+    /// Lost incarnations, kept until no record of theirs can arrive.
     std::unordered_map<std::string, base::instant> m_gone;
     std::deque<touch> m_touched;
 };
--- a/libraries/calls/limit_share.cpp
+++ b/libraries/calls/limit_share.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Remainders that differ by less are the same but for rounding.
+/// Remainders that differ by less than this are equal up to rounding errors.
 constexpr double s_same = 1e-6;
 
 std::vector<std::size_t> order_by(std::vector<double> const& keys)
--- a/libraries/calls/limit_share.hpp
+++ b/libraries/calls/limit_share.hpp
@@ -5,16 +5,16 @@
 namespace berylhill::calls
 {
 
-/// Divides `limit` over entries by their `demands`: each first gets the part
-/// `floor` of an even share, so that a call at a quiet entry is not refused;
-/// then demands are met, the smallest first; what is left is spread evenly.
-/// The sum is `limit` (0 entries: empty). Thread-safe. Preconditions: limit
-/// and demands are not negative, floor is from 0 to 1.
+/// Divides `limit` over entries by their `demands`. Each entry first gets the
+/// fraction `floor` of an even share, so that a call at an idle entry is not
+/// refused; then demands are met, smallest first; the remainder is spread
+/// evenly. The shares add up to `limit` (no entries: empty). Thread-safe.
+/// Preconditions: limit and demands are not negative, floor is from 0 to 1.
 [[nodiscard]] std::vector<double>
 divide_limit(double limit, std::vector<double> const& demands, double floor);
 
-/// The same in whole units: the largest remainders get the units that
-/// rounding down leaves, the earlier entry first. Thread-safe.
+/// Like `divide_limit`, in whole units: the units lost by rounding down go to
+/// the largest remainders, with ties to the earlier entry. Thread-safe.
 [[nodiscard]] std::vector<double>
 divide_units(double limit, std::vector<double> const& demands, double floor);
 
--- a/libraries/calls/minion_health.cpp
+++ b/libraries/calls/minion_health.cpp
@@ -9,9 +9,10 @@
 namespace
 {
 
-/// Weight of the newest call in a smoothed value.
+/// Weight of the newest call in the moving average.
 constexpr double s_newest = 0.2;
-/// An ejection longer ago than so many times the longest one is forgotten.
+/// The ejection count is reset when the last ejection was longer ago than this
+/// multiple of the longest ejection.
 constexpr std::int32_t s_forgiven_after = 5;
 constexpr std::int32_t s_most_doublings = 10;
 
@@ -72,7 +73,7 @@
     m_until = now + span;
     m_state = health_state::ejected;
     m_growing = false;
-    // It is judged afresh when it is back.
+    // Its statistics start from zero when it returns.
     m_ended = 0;
     m_failing = 0;
     m_run = base::duration{0};
--- a/libraries/calls/minion_health.hpp
+++ b/libraries/calls/minion_health.hpp
@@ -7,28 +7,31 @@
 namespace berylhill::calls
 {
 
-/// How a minion's peers are compared with it, and what follows.
+/// Thresholds for ejecting a minion and for returning it to use.
 struct health_settings
 {
-    /// Calls that must have ended before a minion is judged.
+    /// Number of ended calls before a minion is judged.
     std::int32_t least_calls{5};
-    /// Ejected when failing this part of its calls, and twice its peers' part.
+    /// Failure rate from which a minion is ejected, if it is also at least
+    /// twice that of its peers.
     double failing_part{0.4};
-    /// Ejected when slower than its peers' median by this factor.
+    /// A minion is ejected when it is slower than the median of its peers by
+    /// this factor.
     double slow_factor{3};
-    /// A call that runs longer than its peers' median by this factor counts
-    /// as slow before it ends: a minion gone silent is noticed without
-    /// waiting for the deadline.
+    /// A call that runs longer than the median of the peers by this factor
+    /// counts as slow before it ends, so that a minion that has stopped
+    /// answering is noticed before the deadline.
     double silent_factor{8};
     base::duration least_silence{std::chrono::milliseconds{100}};
     base::duration first_ejection{std::chrono::seconds{2}};
     base::duration longest_ejection{std::chrono::seconds{60}};
-    /// At most this part of a group's minions is out at a time, and never the
-    /// last one.
+    /// Maximum fraction of a group's minions that is ejected at a time; the
+    /// last one is never ejected.
     double most_ejected{0.5};
-    /// Good answers a returning minion gives one at a time.
+    /// Successful answers that a returning minion must give, with one call at a
+    /// time.
     std::int32_t trial_calls{3};
-    /// From the trial's end until all slots are used again.
+    /// Time from the end of the trial until all slots are used again.
     base::duration slow_start{std::chrono::seconds{5}};
 
     friend bool operator==(health_settings const&,
@@ -37,20 +40,21 @@
 
 enum class health_state : std::uint8_t
 {
-    in,      ///< Takes calls; after a trial, more from second to second.
-    ejected, ///< Takes none until its time is over.
-    probing, ///< Takes none; asked on a new connection whether it is there.
+    in,      ///< Takes calls; after a trial the number of usable slots grows
+             ///< gradually.
+    ejected, ///< Takes no calls until the ejection time is over.
+    probing, ///< Takes no calls; being checked on a new connection.
     trial,   ///< Takes one call at a time.
 };
 
 enum class call_end : std::uint8_t
 {
     succeeded,
-    failed,    ///< Also an answer that says the server failed.
-    timed_out, ///< No whole answer came.
+    failed,    ///< Including answers that report a server error.
+    timed_out, ///< No complete answer arrived.
 };
 
-/// What is known of one minion's answers, and whether it takes calls. Not
+/// Health statistics of one minion, and whether it takes calls. Not
 /// thread-safe.
 class minion_health
 {
@@ -60,24 +64,25 @@
     {
     }
 
-    /// `run` counts for good answers only: a call that fails at once, or was
-    /// given up on, says nothing of how fast answers are.
+    /// Records the end of a call. `run` is used for successful answers only: a
+    /// call that fails immediately or was given up on does not show how fast
+    /// answers are.
     void ended(call_end end, base::duration run, base::instant now);
 
-    /// An answer to a call that had been given up on.
+    /// Records a successful answer to a call that had been given up on.
     void answered_late(base::duration run, base::instant now);
 
-    /// Takes it out for a time that doubles with each ejection.
+    /// Ejects the minion for a time that doubles with each ejection.
     void eject(base::instant now);
 
-    /// Ejected and its time is over: becomes `probing`. Returns whether it
-    /// did.
+    /// Starts a probe if the minion is ejected and its ejection time is over.
+    /// Returns whether it did.
     [[nodiscard]] bool start_probe(base::instant now);
 
-    /// The answer to a probe came, or did not.
+    /// Records the result of a probe: whether the minion answered.
     void probed(bool there, base::instant now);
 
-    /// How many of `slots` it may use now.
+    /// How many of `slots` may be used now.
     [[nodiscard]] std::int32_t usable(std::int32_t slots,
                                       base::instant now) const;
 
@@ -86,31 +91,31 @@
         return m_state;
     }
 
-    /// Enough calls have ended to judge it.
+    /// Whether enough calls have ended to judge the minion.
     [[nodiscard]] bool known() const noexcept
     {
         return m_ended >= m_settings.least_calls;
     }
 
-    /// The part of its calls that failed, smoothed.
+    /// Smoothed failure rate.
     [[nodiscard]] double failing() const noexcept
     {
         return m_failing;
     }
 
-    /// What its calls take, smoothed; 0 before the first.
+    /// Smoothed running time of its calls; 0 before the first.
     [[nodiscard]] base::duration run() const noexcept
     {
         return m_run;
     }
 
-    /// When the last good answer came.
+    /// Time of the last successful answer.
     [[nodiscard]] base::instant last_good() const noexcept
     {
         return m_last_good;
     }
 
-    /// Until when it is ejected; also the time of its next probe.
+    /// End of the ejection, which is also the time of the next probe.
     [[nodiscard]] base::instant until() const noexcept
     {
         return m_until;
@@ -127,7 +132,8 @@
     std::int32_t m_ejections{0};
     std::int32_t m_trial_good{0};
     base::instant m_until;
-    /// When the last trial ended well; the slots grow from here.
+    /// When the last trial succeeded; the number of usable slots grows from
+    /// then on.
     base::instant m_returned;
     bool m_growing{false};
     base::instant m_last_ejected;
--- a/libraries/calls/minion_pool.cpp
+++ b/libraries/calls/minion_pool.cpp
@@ -11,9 +11,11 @@
 namespace
 {
 
-/// Weight of the newest call in what callers allow.
+/// Weight of the newest call in the moving average of the time that callers
+/// allow.
 constexpr double s_newest = 0.05;
-/// What is left of the fast run after a call was refused for it.
+/// Factor applied to the fast running time when a call is refused because of
+/// it.
 constexpr double s_doubt = 0.98;
 constexpr double s_least_retry_s = 0.2;
 
@@ -56,8 +58,8 @@
     {
         return out;
     }
-    // The list lags and errs: a minion that drops off it and comes back must
-    // not have lost the count of its slots.
+    // The platform's endpoint list may lag or be wrong. A minion that
+    // disappears from it and returns must keep the count of its used slots.
     auto gone = found->second.endpoint();
     gone.state = model::listed_state::leaving;
     found->second.set_endpoint(std::move(gone));
@@ -93,8 +95,9 @@
         s_newest * (std::max(0.0, base::seconds_of(left)) - m_allowed_s);
     if (base::seconds_of(left) <= m_fast_run_s)
     {
-        // Refused calls teach nothing: without this, calls with little time
-        // would be refused for good once the minions were slow for a while.
+        // Refused calls yield no measurement. Without this decay, calls with
+        // little time left would be refused permanently once the minions had
+        // been slow for a while.
         m_fast_run_s *= s_doubt;
         refuse(it, refusal_code::deadline_too_short, now, out);
         return out;
@@ -119,7 +122,7 @@
     auto const found = m_flights.find(request_id);
     if (found == m_flights.end() || !found->second.awaited)
     {
-        // A late answer: its caller has had the final answer already.
+        // A late answer: the caller has already had the final answer.
         out.emplace_back(drop_answer{request_id});
     }
     else
@@ -313,8 +316,9 @@
 
 void minion_pool::note_timeout(flight const& it, base::instant now)
 {
-    // A call with little time left when it was sent is late on any minion.
-    // Blamed for those, good minions would be taken out just when calls wait.
+    // A call with little time left when it was sent is late on any minion. If
+    // such calls were counted, good minions would be ejected exactly when calls
+    // are waiting.
     auto const fair = m_settings.health.slow_factor * m_run_s;
     auto const minion = m_minions.find(it.minion);
     if (minion != m_minions.end() && base::seconds_of(it.allowed) >= fair)
@@ -352,8 +356,9 @@
     {
         health.answered_late(run, now);
     }
-    // Late answers count too: without them the run time is that of the fast
-    // ones only, the queue is let grow by it, and yet more answers are late.
+    // Late answers count too. Without them the running time is that of fast
+    // calls only, the queue is allowed to grow accordingly, and even more
+    // answers are late.
     if (end == call_end::succeeded && health.state() == health_state::in)
     {
         learn_run(run);
--- a/libraries/calls/minion_pool.hpp
+++ b/libraries/calls/minion_pool.hpp
@@ -27,17 +27,17 @@
 
 struct minion_pool_settings
 {
-    /// Calls are refused rather than queued for longer than this many times
-    /// what a call takes: a queue of one or two runs evens out chance and
-    /// keeps every slot busy, a longer one only makes answers late.
+    /// Calls are refused rather than queued for longer than this many running
+    /// times of a call. A queue of one or two running times evens out random
+    /// variation and keeps every slot busy; a longer one only delays answers.
     double longest_wait_runs{2};
-    /// The same as a time, whatever a call takes.
+    /// Absolute limit on the time in the queue.
     base::duration longest_wait{std::chrono::milliseconds{500}};
     std::int32_t most_queued{1'024};
-    /// The longest that a minion may be at a call, from the send on; until
-    /// then, or its answer, the slot counts as taken.
+    /// Maximum time that a minion may take for a call, from the send on. Until
+    /// then, or until its answer, the slot counts as taken.
     base::duration longest_run{std::chrono::seconds{30}};
-    /// What a call takes before the first one ended.
+    /// Assumed running time of a call before the first one has ended.
     base::duration first_run{std::chrono::milliseconds{20}};
     health_settings health;
 
@@ -45,10 +45,10 @@
                            minion_pool_settings const&) = default;
 };
 
-/// What a group's owner knows of its minions and of the calls in its hands.
-/// Each call that it is offered gets exactly one of `refuse_call` and
-/// `deliver_answer`; each `send_to_minion` is to be reported with exactly one
-/// of `answered`, `not_run` and `unknown`. Not thread-safe.
+/// State of a group's minions and of the calls that the group's owner holds.
+/// Each offered call gets exactly one of `refuse_call` and `deliver_answer`;
+/// each `send_to_minion` must be reported with exactly one of `answered`,
+/// `not_run` and `connection_closed`. Not thread-safe.
 class minion_pool
 {
 public:
@@ -57,66 +57,70 @@
                 minion_pool_settings const& settings,
                 generator random);
 
-    /// A minion of the group is live or leaving, as the platform's list or an
-    /// announced stop says. A leaving one gets nothing new from now on.
+    /// Adds or updates a minion that is live or leaving, according to the
+    /// platform's endpoint list or an announced stop. A leaving minion gets no
+    /// new calls.
     [[nodiscard]] minion_pool_actions set_minion(model::endpoint const& it,
                                                  base::instant now);
 
-    /// A minion is off the platform's list. Calls on it still end by
-    /// `answered`, `not_run` or `unknown`.
+    /// Removes a minion that is no longer on the platform's endpoint list. Its
+    /// calls still end with `answered`, `not_run` or `connection_closed`.
     [[nodiscard]] minion_pool_actions remove_minion(std::string const& minion,
                                                     base::instant now);
 
-    /// An earlier owner of the group may have this call on the minion. Call
-    /// for all of them before the first `offer`; the slot is taken until
-    /// `free_at` or `freed`.
+    /// Records a call that an earlier owner of the group may have sent to the
+    /// minion. Call for all such calls before the first `offer`; the slot is
+    /// taken until `free_at` or `freed`.
     void adopt(std::string const& minion,
                std::string const& request_id,
                base::instant free_at,
                base::instant now);
 
-    /// A call came for this group. A request id names one attempt: one that
-    /// was offered before and whose deadline has not passed does nothing.
+    /// Takes a call for this group. A request id identifies one attempt: one
+    /// that was offered before and whose deadline has not passed is ignored.
     [[nodiscard]] minion_pool_actions offer(call const& it, base::instant now);
 
-    /// A whole answer with this request id came. An answer that says the
-    /// server failed is `call_end::failed`.
+    /// Handles a complete answer with this request id. An answer that reports a
+    /// server error is `call_end::failed`.
     [[nodiscard]] minion_pool_actions
     answered(std::string const& request_id, call_end end, base::instant now);
 
-    /// No byte of the call left, or the minion said that it did not run it.
+    /// Handles a call that did not run: none of it was sent, or the minion
+    /// answered that it did not run it.
     [[nodiscard]] minion_pool_actions not_run(std::string const& request_id,
                                               base::instant now);
 
-    /// The connection is closed without a whole answer.
+    /// Handles a connection that was closed without a complete answer.
     [[nodiscard]] minion_pool_actions
     connection_closed(std::string const& request_id, base::instant now);
 
-    /// The minion is known to have ended a call whose connection was closed.
+    /// Frees the slot of a call whose connection was closed, once the minion is
+    /// known to have ended it.
     [[nodiscard]] minion_pool_actions freed(std::string const& request_id,
                                             base::instant now);
 
-    /// The caller does not wait any more. It gets its final answer at once; a
-    /// call that was sent keeps its slot.
+    /// Gives up on a call that its caller no longer awaits. The caller gets its
+    /// final answer at once; a call that was sent keeps its slot.
     [[nodiscard]] minion_pool_actions give_up(std::string const& request_id,
                                               base::instant now);
 
-    /// The answer to a `probe_minion`.
+    /// Handles the result of a `probe_minion`: whether the minion answered.
     [[nodiscard]] minion_pool_actions
     probed(std::string const& minion, bool there, base::instant now);
 
-    /// Does what is due at `now`. Call at `next_expiry()` or a little later.
+    /// Handles everything due at `now`. Call at `next_expiry()` or shortly
+    /// after.
     [[nodiscard]] minion_pool_actions expire(base::instant now);
 
     [[nodiscard]] base::instant next_expiry(base::instant now) const;
 
-    /// Refuses all that wait: the owner is stopping.
+    /// Refuses all queued calls, because the owner is stopping.
     [[nodiscard]] minion_pool_actions stop();
 
     /// `owner`, `epoch` and `sequence` are left for the caller to set.
     [[nodiscard]] group_digest digest(base::instant now) const;
 
-    /// Calls on minions, awaited or not.
+    /// Number of calls sent to minions, awaited or not.
     [[nodiscard]] std::size_t in_flight() const noexcept
     {
         return m_flights.size();
@@ -127,10 +131,10 @@
         return m_queue.size();
     }
 
-    /// The minion's slots; null for one that is not known.
+    /// The slots of a minion; null if it is unknown.
     [[nodiscard]] minion_slots const* find(std::string const& minion) const;
 
-    /// The minion that has this call, empty where none has.
+    /// The minion to which this call was sent; empty if none.
     [[nodiscard]] std::string minion_of(std::string const& request_id) const;
 
 private:
@@ -138,7 +142,7 @@
     {
         std::string minion;
         base::instant sent_at;
-        /// Until the call's deadline.
+        /// Time from the send to the call's deadline.
         base::duration allowed{0};
         bool awaited{true};
     };
@@ -179,25 +183,27 @@
     std::string m_service;
     minion_pool_settings m_settings;
     generator m_random;
-    /// Ordered, so that equal inputs give equal choices everywhere.
+    /// Ordered, so that equal inputs give equal decisions on every platform.
     std::map<std::string, minion_slots> m_minions;
     call_queue m_queue;
     std::unordered_map<std::string, flight> m_flights;
-    /// Of the flights, and of some that have ended since.
+    /// Deadlines of sent calls, including some that have ended since.
     std::priority_queue<deadline_of, std::vector<deadline_of>, std::greater<>>
         m_deadlines;
-    /// Hashes of the request ids offered, until their deadlines.
+    /// Hashes of the offered request ids, kept until their deadlines.
     std::unordered_set<std::uint64_t> m_seen;
     std::priority_queue<seen_until, std::vector<seen_until>, std::greater<>>
         m_seen_until;
     ejection_rules m_ejection;
     std::set<std::string> m_removed;
-    /// What good answers take, smoothed, and what the fastest tenth takes.
+    /// Smoothed running time of successful calls, and that of the fastest
+    /// tenth.
     double m_run_s;
     double m_fast_run_s{0};
-    /// How long callers allow, smoothed.
+    /// Smoothed time that callers allow.
     double m_allowed_s{1};
-    /// Refused for load since the last expiry, for an honest Retry-After.
+    /// Recent refusals for lack of capacity, decayed by `expire`, for a
+    /// realistic Retry-After.
     double m_refused{0};
     base::instant m_refused_since;
 };
--- a/libraries/calls/minion_pool_action.hpp
+++ b/libraries/calls/minion_pool_action.hpp
@@ -12,21 +12,23 @@
 {
 
 /// Send the call to this minion once, on a connection of its own. Report
-/// `answered` or `not_run` when they come, also when the call was given up on
-/// meanwhile, and `unknown` when the connection breaks or `timeout` is over:
-/// until then the late answer is what says that the minion's slot is free.
+/// `answered` or `not_run` when the result arrives, even if the call was given
+/// up on meanwhile, and `connection_closed` when the connection breaks or
+/// `timeout` expires. Until then only the late answer shows that the minion's
+/// slot is free.
 struct send_to_minion
 {
     std::string request_id;
     std::string minion;
-    /// Since the send; later than the call's deadline, which the ledger keeps.
+    /// Time limit from the send; it ends after the call's deadline, which the
+    /// pool enforces.
     base::duration timeout;
 
     friend bool operator==(send_to_minion const&,
                            send_to_minion const&) = default;
 };
 
-/// The call waits for a slot; nothing is to be done.
+/// The call is queued for a slot; no action is needed.
 struct call_queued
 {
     std::string request_id;
@@ -35,7 +37,7 @@
     friend bool operator==(call_queued const&, call_queued const&) = default;
 };
 
-/// Give the caller its final answer now.
+/// Send the caller its final answer now.
 struct refuse_call
 {
     std::string request_id;
@@ -53,7 +55,7 @@
                            deliver_answer const&) = default;
 };
 
-/// The answer is of a call that was given up on, or of none: drop it and
+/// The answer belongs to a call that was given up on or is unknown: discard and
 /// count it.
 struct drop_answer
 {
@@ -62,8 +64,8 @@
     friend bool operator==(drop_answer const&, drop_answer const&) = default;
 };
 
-/// Ask the minion on a new connection whether it is there, and report
-/// `probed`.
+/// Check on a new connection whether the minion answers, and report the result
+/// with `probed`.
 struct probe_minion
 {
     std::string minion;
--- a/libraries/calls/minion_pool_choice.cpp
+++ b/libraries/calls/minion_pool_choice.cpp
@@ -3,22 +3,22 @@
 #include <algorithm>
 #include <cmath>
 
-/// The half of the ledger that chooses: which minion, queue or refusal, and
-/// who is ejected. The events are in minion_pool.cpp.
+/// The part of the pool that makes decisions: sending, queueing or refusing
+/// calls, and ejecting minions. The event handlers are in minion_pool.cpp.
 namespace berylhill::calls
 {
 
 namespace
 {
 
-/// Weight of the newest call in the group's smoothed run time.
+/// Weight of the newest call in the group's smoothed running time.
 constexpr double s_newest = 0.05;
-/// The part of answers that are at least as fast as the fast run.
+/// Fraction of the answers that are at least as fast as the fast running time.
 constexpr double s_fast_part = 0.1;
-/// A call that waits must have so many runs left: nearly all answers come
-/// within it, about half of them within one.
+/// A queued call must have this many running times left: nearly all answers
+/// come within it, about half of them within one.
 constexpr double s_margin_runs = 2;
-/// Calls that must hang on a minion before it counts as silent.
+/// Number of overdue calls from which a minion counts as not answering.
 constexpr std::int32_t s_hanging = 2;
 constexpr double s_least_retry_s = 0.2;
 constexpr double s_longest_retry_s = 30;
@@ -35,7 +35,8 @@
             return;
         }
         auto const it = m_queue.pop();
-        // While others wait, the slot is for one that will be in time.
+        // While other calls wait, the slot goes to a call that will be answered
+        // in time.
         auto const least = m_queue.empty() ? m_fast_run_s : m_run_s;
         if (base::seconds_of(it->deadline - now) <= least)
         {
@@ -87,13 +88,13 @@
             continue;
         }
         auto const slots = std::max(minion.endpoint().slots, std::int32_t{1});
-        // The random part decides between equals only.
+        // The random term decides between equally loaded minions only.
         auto load =
             (static_cast<double>(minion.busy()) + uniform(m_random, 0, 0.5)) /
             static_cast<double>(slots);
-        // A minion that takes longer than is left comes last. It is not left
-        // out: were all of them so, none would get a call again, and nobody
-        // would see that they have become fast.
+        // A minion slower than the time left is ranked last, but not excluded:
+        // if all were that slow, none would get calls any more, and it would
+        // not be noticed when they become fast again.
         load += minion.health().run() > left ? 1 : 0;
         if (best == nullptr || load < least)
         {
@@ -110,8 +111,9 @@
                          minion_pool_actions& out)
 {
     m_refused += 1;
-    // Those refused just before come back too; spread over the time that it
-    // takes to serve them, they do not all find the group full again.
+    // Clients refused earlier will retry as well. Spreading the retries over
+    // the time that it takes to serve them keeps them from finding the group
+    // full again all together.
     auto const ahead = m_refused + static_cast<double>(m_queue.size());
     auto const spread = std::clamp(base::seconds_of(wait_of(ahead, now)),
                                    s_least_retry_s, s_longest_retry_s);
@@ -125,7 +127,8 @@
 {
     auto const seconds = base::seconds_of(run);
     m_run_s += s_newest * (seconds - m_run_s);
-    // Steps up and down balance where a tenth of the answers is faster.
+    // A quantile estimate: the steps up and down balance where a tenth of the
+    // answers is faster.
     auto const step = s_newest * m_run_s;
     m_fast_run_s +=
         seconds < m_fast_run_s ? -step * (1 - s_fast_part) : step * s_fast_part;
@@ -154,8 +157,8 @@
             continue;
         }
         auto const peers = peers_of(minion);
-        // One long call is no sign; several, and nothing else answered
-        // meanwhile, are.
+        // One long call alone proves nothing; several, while nothing else was
+        // answered, do.
         if (m_ejection.is_silent(health, peers, now) &&
             minion.running_longer(m_ejection.silence(peers), now) >=
                 s_hanging &&
--- a/libraries/calls/minion_pool_expiry.cpp
+++ b/libraries/calls/minion_pool_expiry.cpp
@@ -2,17 +2,18 @@
 
 #include <algorithm>
 
-/// The part of the ledger that follows the clock: deadlines, lingering slots,
-/// probes, and what may be forgotten.
+/// The time-driven part of the pool: deadlines, lingering slots, probes and
+/// removal of old state.
 namespace berylhill::calls
 {
 
 namespace
 {
 
-/// Between two looks at ejections, lingering slots and deadlines.
+/// Maximum interval between checks of ejections, lingering slots and deadlines.
 constexpr base::duration s_look_every{std::chrono::milliseconds{50}};
-/// Refusals are counted over this window for the time to come back.
+/// Window after which the count of refusals, which Retry-After depends on, is
+/// halved; in seconds.
 constexpr double s_refused_window_s = 1;
 
 } // namespace
--- a/libraries/calls/minion_slots.cpp
+++ b/libraries/calls/minion_slots.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Kept free on each minion for pings on a new connection.
+/// Connections kept free on each minion for pings on a new connection.
 constexpr std::int32_t s_spare_connections = 1;
 
 } // namespace
--- a/libraries/calls/minion_slots.hpp
+++ b/libraries/calls/minion_slots.hpp
@@ -14,29 +14,30 @@
 namespace berylhill::calls
 {
 
-/// What one call holds on a minion.
+/// How a call occupies a slot of a minion.
 enum class hold_kind : std::uint8_t
 {
-    awaited,   ///< Sent, and somebody waits for its answer.
-    given_up,  ///< Sent, and nobody waits any more; its connection is open.
-    lingering, ///< Its connection is closed; the minion may still be at it.
+    awaited,   ///< Sent; its answer is awaited.
+    given_up,  ///< Sent and no longer awaited; its connection is open.
+    lingering, ///< Its connection is closed; the minion may still be running
+               ///< it.
 };
 
 struct slot_hold
 {
     hold_kind kind{hold_kind::awaited};
     base::instant sent_at;
-    /// Lingering ones: when the minion has surely ended the call.
+    /// For lingering calls: when the minion has certainly ended the call.
     base::instant free_at;
 
     friend bool operator==(slot_hold const&, slot_hold const&) = default;
 };
 
-/// The slots and connections of one minion, counted exactly. A slot is taken
+/// Exact count of the used slots and connections of one minion. A slot is taken
 /// from the send until the minion's answer, or until the connection is closed
-/// and the longest time that a minion may spend on a call is over. It guards
-/// against an overfull minion: were the slot given away when the caller gives
-/// up, the minion would be at both calls. Not thread-safe.
+/// and the maximum time for a call has passed. This prevents overload: if the
+/// slot were freed when the caller gives up, the minion would run both the old
+/// and a new call. Not thread-safe.
 class minion_slots
 {
 public:
@@ -49,28 +50,33 @@
     /// Precondition: `has_room(now)`.
     void take(std::string const& request_id, base::instant now);
 
-    /// A slot that an earlier owner of the group may have in use.
+    /// Takes a slot that an earlier owner of the group may be using.
     void take_unseen(std::string const& request_id,
                      base::instant now,
                      base::instant free_at);
 
-    /// Nobody waits for the call any more; its slot stays taken.
+    /// Marks a call as no longer awaited; its slot stays taken.
     void give_up(std::string const& request_id);
 
-    /// The connection is closed without an answer.
+    /// Records that the connection was closed without an answer. The slot stays
+    /// taken until `free_at`.
     void linger(std::string const& request_id, base::instant free_at);
 
-    /// The minion has surely ended the call. Returns what it held.
+    /// Frees the slot of a call that the minion has certainly ended. Returns
+    /// the slot's state.
     std::optional<slot_hold> release(std::string const& request_id);
 
-    /// Frees lingering slots whose time is over; returns their calls.
+    /// Frees lingering slots whose time is over; returns the request ids of
+    /// their calls.
     std::vector<std::string> expire(base::instant now);
 
-    /// Awaited calls that run for longer than `span`.
+    /// Number of calls with an open connection that have been running for
+    /// longer than `span`.
     [[nodiscard]] std::int32_t running_longer(base::duration span,
                                               base::instant now) const;
 
-    /// Slots usable now, those in use included; 0 when leaving.
+    /// Number of slots usable now, including those in use; 0 if the minion is
+    /// leaving.
     [[nodiscard]] std::int32_t usable(base::instant now) const;
 
     [[nodiscard]] std::int32_t busy() const noexcept
--- a/libraries/calls/problem.cpp
+++ b/libraries/calls/problem.cpp
@@ -87,7 +87,7 @@
 {
     problem it;
     it.status = status_of(why.code);
-    // Rounded up: a client that comes back early is refused again.
+    // Rounded up: a client that retries early is refused again.
     it.retry_after_s =
         static_cast<std::int64_t>(std::ceil(std::max(0.0, why.retry_after_s)));
     Json::Value body{Json::objectValue};
--- a/libraries/calls/problem.hpp
+++ b/libraries/calls/problem.hpp
@@ -9,7 +9,7 @@
 namespace berylhill::calls
 {
 
-/// A refusal as HTTP shows it: an RFC 9457 problem document. A value.
+/// A refusal as an RFC 9457 problem document. A value.
 struct problem
 {
     /// The media type of `body`.
@@ -17,7 +17,7 @@
         "application/problem+json";
 
     std::int32_t status{500};
-    /// Whole seconds for the Retry-After header; 0 for no header.
+    /// Value of the Retry-After header in seconds; 0 for no header.
     std::int64_t retry_after_s{0};
     /// One line of JSON: type, title, status, detail, instance and the
     /// extension members `ran`, `code` and `retry_after_s`.
@@ -26,8 +26,8 @@
     friend bool operator==(problem const&, problem const&) = default;
 };
 
-/// The one place where refusals get their HTTP status. `instance` names the
-/// request, for example its request id. Thread-safe.
+/// Maps a refusal to its HTTP status and problem document. `instance`
+/// identifies the request, for example by its request id. Thread-safe.
 [[nodiscard]] problem problem_of(refusal const& why, std::string_view instance);
 
 /// The HTTP status of a refusal with this code. Thread-safe.
--- a/libraries/calls/retry_budget.cpp
+++ b/libraries/calls/retry_budget.cpp
@@ -9,9 +9,11 @@
 namespace
 {
 
-/// Doubling stops mattering here and would overflow later.
+/// Further doubling has no effect, as the back-off is capped, and would
+/// overflow.
 constexpr std::int32_t s_most_doublings = 20;
-/// Sums of tenths fall a little short of whole numbers.
+/// Tolerance for rounding errors: sums of tenths fall slightly short of whole
+/// numbers.
 constexpr double s_rounding = 1e-9;
 
 } // namespace
--- a/libraries/calls/retry_budget.hpp
+++ b/libraries/calls/retry_budget.hpp
@@ -10,15 +10,15 @@
 namespace berylhill::calls
 {
 
-/// How much may be sent again.
+/// Limits on resends.
 struct retry_settings
 {
-    /// Resends a first attempt pays for.
+    /// Fraction of a resend that each first attempt adds to the budget.
     double share{0.1};
-    /// Resends that may be saved up, so that a quiet contract can resend at
-    /// all.
+    /// Maximum number of resends in the budget, so that a contract with few
+    /// calls can resend at all.
     double most_saved{10};
-    /// Attempts at one call, the first one included.
+    /// Maximum number of attempts at one call, the first one included.
     std::int32_t most_attempts{3};
     base::duration first_back_off{std::chrono::milliseconds{10}};
     base::duration longest_back_off{std::chrono::seconds{1}};
@@ -27,27 +27,29 @@
                            retry_settings const&) = default;
 };
 
-/// Resends and hedges that each contract may still spend at this entry. It
-/// guards against retry storms: when minions fail, plain retries multiply the
-/// load that made them fail. Here the sends are at most (1 + share) times the
-/// first attempts, plus what was saved. Not thread-safe.
+/// Budget of resends and hedges for each contract at this entry. It guards
+/// against retry storms: when minions fail, unlimited retries multiply the load
+/// that made them fail. The number of sends is at most (1 + share) times the
+/// number of first attempts, plus the saved budget. Not thread-safe.
 class retry_budget
 {
 public:
     retry_budget(retry_settings const& settings, generator random);
 
-    /// Notes a first attempt, which pays for a part of a resend.
+    /// Records a first attempt, which adds a fraction of a resend to the
+    /// budget.
     void first_attempt(std::string const& contract);
 
-    /// Takes one resend out of the contract's budget, if there is one.
+    /// Takes one resend from the contract's budget, if it has one.
     [[nodiscard]] bool take(std::string const& contract);
 
     /// Whether `take` would succeed.
     [[nodiscard]] bool has(std::string const& contract) const;
 
-    /// How long to wait before attempt number `attempt`, counted from 1 for
-    /// the first resend: doubling, from half to the whole, so that calls which
-    /// failed together do not come back together.
+    /// Delay before attempt number `attempt`, counted from 1 for the first
+    /// resend. It doubles with each attempt and is drawn at random between half
+    /// of the value and the value, so that calls that failed together are not
+    /// resent together.
     [[nodiscard]] base::duration back_off(std::int32_t attempt);
 
     [[nodiscard]] retry_settings const& settings() const noexcept
--- a/libraries/calls/router.cpp
+++ b/libraries/calls/router.cpp
@@ -8,13 +8,14 @@
 namespace
 {
 
-/// Most calls end within this multiple of the smoothed run time.
+/// Most calls end within this multiple of the smoothed running time.
 constexpr double s_hedge_after_runs = 3;
-/// What a group without usable slots counts as waiting, in seconds.
+/// Expected wait assumed for a group without usable slots, in seconds.
 constexpr double s_no_slots_s = 60;
-/// Calls for each slot, those on it included, while a queue is short.
+/// Calls per slot, running ones included, up to which a queue is short.
 constexpr std::int32_t s_short_queue_per_slot = 2;
-/// What a refusal since the last digest adds to the waiting, in seconds.
+/// Added to the expected wait of a group that refused a call since its last
+/// digest, in seconds.
 constexpr double s_full_s = 0.5;
 
 } // namespace
@@ -210,7 +211,7 @@
     auto const age = std::max(base::seconds_of(now - it.heard_at) -
                                   base::seconds_of(m_settings.fresh),
                               0.0);
-    // What an old digest says is worth less the older it is.
+    // The older a digest, the less reliable it is.
     auto const full = it.full ? s_full_s : 0;
     return load * run + base::seconds_of(digest.expected_wait) + age + full;
 }
--- a/libraries/calls/router.hpp
+++ b/libraries/calls/router.hpp
@@ -17,28 +17,29 @@
 
 struct router_settings
 {
-    /// A digest older than this counts as less sure from then on.
+    /// Age up to which a digest counts as current; beyond it, the expected wait
+    /// grows with the age.
     base::duration fresh{std::chrono::milliseconds{500}};
-    /// A digest older than this is used only when there is no other.
+    /// Age after which a digest is used only if there is no newer one.
     base::duration stale{std::chrono::seconds{3}};
-    /// After this the group is forgotten.
+    /// Age of the digest after which the group is removed.
     base::duration gone{std::chrono::seconds{30}};
 
     friend bool operator==(router_settings const&,
                            router_settings const&) = default;
 };
 
-/// What a group must have to be chosen.
+/// Capacity that a group must have to be chosen.
 enum class wanted_room : std::uint8_t
 {
-    any,         ///< For first attempts, and when a minion failed.
+    any,         ///< For first attempts, and after a minion failed.
     short_queue, ///< For calls that another owner refused: under overload a
-                 ///< full group only refuses them again.
-    idle,        ///< Slots to spare: for hedges, so that they never take a
-                 ///< slot from a first attempt.
+                 ///< full group would only refuse them again.
+    idle, ///< Free slots: for hedges, so that they never take a slot from a
+          ///< first attempt.
 };
 
-/// Where a call is sent. A value.
+/// The group and owner to which a call is sent. A value.
 struct route
 {
     std::string group;
@@ -49,22 +50,23 @@
 };
 
 /// Chooses a group of minions for each call at its entry: of two groups drawn
-/// at random, the one with the least expected wait (power of two choices), so
-/// that entries with the same late digests do not all choose the same group.
-/// Not thread-safe.
+/// at random, the one with the lower expected wait (power of two choices), so
+/// that entries with the same outdated digests do not all choose the same
+/// group. Not thread-safe.
 class router
 {
 public:
     router(router_settings const& settings, generator random);
 
-    /// A digest came. One older than what is known is ignored.
+    /// Applies a digest. One older than the known digest of its group is
+    /// ignored.
     void heard(group_digest const& it, base::instant now);
 
-    /// The group has no owner any more, or another one from now on.
+    /// Removes a group that has lost its owner or has got a new one.
     void forget(std::string const& group);
 
-    /// A group of the service that is not in `tried` and has this room, as
-    /// far as is known; empty where none is.
+    /// Chooses a group of the service that is not in `tried` and has this
+    /// capacity as far as is known; empty if there is none.
     [[nodiscard]] std::optional<route>
     choose(std::string const& service,
            std::vector<std::string> const& tried,
@@ -77,20 +79,20 @@
                               wanted_room room,
                               base::instant now);
 
-    /// The group's owner refused a call for want of room: until its next
-    /// digest it counts as full.
+    /// Records that the group's owner refused a call for lack of capacity: the
+    /// group counts as full until its next digest.
     void refused(std::string const& group);
 
-    /// When an idempotent call may be sent a second time elsewhere: after a
-    /// time that most calls of the service end in. Empty where it would not
-    /// help before the deadline.
+    /// When to send a hedge for an idempotent call: after a time within which
+    /// most calls of the service end. Empty if a hedge would not help before
+    /// the deadline.
     [[nodiscard]] std::optional<base::instant>
     hedge_at(std::string const& group, call const& it, base::instant now) const;
 
     /// Whether any group of the service is known.
     [[nodiscard]] bool knows(std::string const& service) const;
 
-    /// Drops digests that are too old.
+    /// Removes groups whose digest is too old.
     void expire(base::instant now);
 
 private:
@@ -99,7 +101,8 @@
         group_digest digest;
         base::instant heard_at;
         bool full{false};
-        /// Calls of this entry that the digest cannot know of yet.
+        /// Calls sent by this entry since the digest, which it does not
+        /// include.
         std::int32_t sent_since{0};
     };
     using group_list = std::vector<known_group*>;
@@ -118,7 +121,8 @@
 
     router_settings m_settings;
     generator m_random;
-    /// By service, then by group; ordered for equal choices from equal seeds.
+    /// Keyed by service, then by group; ordered, so that equal seeds give equal
+    /// choices.
     std::map<std::string, std::map<std::string, known_group>> m_services;
     std::map<std::string, std::string> m_service_of;
 };
--- a/libraries/calls/side_rule.hpp
+++ b/libraries/calls/side_rule.hpp
@@ -8,33 +8,34 @@
 namespace berylhill::calls
 {
 
-/// Which data centre serves a contract's work, while contracts move between
-/// two. A change counts from its offset in the configuration log on: work
-/// accepted before it finishes where it is, work accepted after it goes to the
-/// new side. As the side follows from the offset alone, each request has one
-/// side, whichever entry is asked, and nothing is done on both. Not
-/// thread-safe.
+/// Which data centre (side) serves the work of a contract, while contracts move
+/// between two of them. A change takes effect at its offset in the
+/// configuration log: work accepted before it finishes where it is, work
+/// accepted after it goes to the new side. As the side follows from the offset
+/// alone, every entry assigns a request to the same side, and no work is done
+/// on both. Not thread-safe.
 class side_rule
 {
 public:
-    /// The contract's record at `offset` names `side`. Records may come again
-    /// and in any order; a record that is known already changes nothing.
+    /// Adds the contract's configuration record at `offset`, which names
+    /// `side`. Records may be added repeatedly and in any order; a known record
+    /// is ignored.
     void learn(std::string const& contract,
                std::int64_t offset,
                std::string const& side);
 
-    /// The side of a request that was accepted when configuration up to and
-    /// including `accepted_at` was in force; empty when the contract did not
+    /// The side of a request that was accepted when the configuration up to and
+    /// including `accepted_at` was in force; empty if the contract did not
     /// exist then.
     [[nodiscard]] std::string side_of(std::string const& contract,
                                       std::int64_t accepted_at) const;
 
-    /// Forgets what only requests accepted before `offset` need. Call with an
-    /// offset older than every request that can still be asked for.
+    /// Removes changes that only requests accepted before `offset` need.
+    /// `offset` must be older than every request that can still be asked for.
     void forget_before(std::int64_t offset);
 
 private:
-    /// Side by the offset from which it counts.
+    /// Sides, keyed by the offset from which they are in force.
     using history = std::map<std::int64_t, std::string>;
 
     std::unordered_map<std::string, history> m_histories;
--- a/tests/calls/admission_test.cpp
+++ b/tests/calls/admission_test.cpp
@@ -36,7 +36,7 @@
     return it;
 }
 
-/// Gossip rounds from one instant to another, with what peers report.
+/// Runs gossip rounds between two instants, with the demand that peers report.
 void rounds(calls::admission& it,
             std::int64_t from_ms,
             std::int64_t to_ms,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Calls admitted by this entry alone, all at one instant.
+/// Number of calls that this entry admits by itself at one instant.
 int admitted(calls::admission& it, base::instant now)
 {
     int n = 0;
@@ -93,9 +93,9 @@
     BOOST_TEST(std::accumulate(shares.begin(), shares.end(), 0.0) == it.limit);
 }
 
-// A limit is passed for seconds after each start of an entry: an
-// entry joins and takes its share at once, while the others have not heard of
-// it and still use the whole limit.
+// Guards against a limit exceeded for seconds after each start of an entry: the
+// new entry uses its share at once, while the others have not yet received its
+// demand and still use the whole limit.
 BOOST_AUTO_TEST_CASE(a_joiner_admits_nothing_until_the_others_gave_up_a_part)
 {
     auto it = entry("e-1");
@@ -109,9 +109,9 @@
     BOOST_TEST(admitted(it, at_ms(1'400)) == 10);
 }
 
-// The limit is passed after a pause: an entry is stopped for 20 s, its peers
-// drop it and use its part, and when it goes on it admits calls against the
-// part it had.
+// Guards against a limit exceeded after a process was suspended: an entry is
+// stopped for 20 s, its peers remove it and use its share, and when it resumes
+// it admits calls against its old share.
 BOOST_AUTO_TEST_CASE(a_part_lapses_while_the_process_is_stopped)
 {
     auto it = entry("e-1");
@@ -138,9 +138,8 @@
     BOOST_TEST(it.part_of("kitakaze").at_once == 10);
 }
 
-// A contract's calls are refused for good: an entry died with calls in flight,
-// nobody reports them as finished, and each death takes some of the
-// concurrency away.
+// Guards against a permanent loss of concurrency: an entry fails with calls in
+// flight whose end is never reported, so that they stay counted.
 BOOST_AUTO_TEST_CASE(calls_of_a_dead_entry_give_their_concurrency_back)
 {
     auto it = entry("e-1");
@@ -153,7 +152,7 @@
     BOOST_TEST(admitted(it, at_ms(2'000)) == 0);
     it.set_live({"e-1", "e-2"}, at_ms(2'100));
     BOOST_TEST(admitted(it, at_ms(2'100)) == 10);
-    // A late word about one of them changes nothing.
+    // A late report of a finished call changes nothing.
     it.finished("e-3", "kitakaze", base::duration{1}, 0, at_ms(2'100));
     BOOST_TEST(admitted(it, at_ms(2'100)) == 0);
 }
@@ -172,7 +171,7 @@
     BOOST_CHECK(second.state == admission_state::ask_home);
     BOOST_TEST(second.home != first.home);
     it.mark_home_exhausted("kitakaze", second.home, at_ms(2'000));
-    // The next call is not carried around the homes in vain.
+    // The next call does not ask the exhausted homes again.
     auto const next = it.next("kitakaze", "report-svc", {}, at_ms(2'010));
     BOOST_CHECK(next.state == admission_state::refused);
     BOOST_CHECK(next.why.execution == ran::not_run);
@@ -203,8 +202,8 @@
     BOOST_TEST(admitted(it, at_ms(12'000)) == 0);
 }
 
-// All refused clients come back in the same instant and are refused again:
-// they were all told the same time.
+// Guards against synchronised retries: refused clients that were all told the
+// same time retry in the same instant and are refused again.
 BOOST_AUTO_TEST_CASE(refused_clients_are_told_different_times_to_come_back)
 {
     auto it = entry("e-1");
@@ -219,7 +218,8 @@
         BOOST_CHECK(why->code == refusal_code::too_many_at_once);
         times.push_back(why->retry_after_s);
     }
-    // The first few find the same state, so only jitter tells them apart.
+    // The first few are refused in the same state, so that only the jitter
+    // separates them.
     BOOST_TEST((std::set<double>{times.begin(), times.begin() + 5}.size()) ==
                5U);
     auto const [least, most] = std::minmax_element(times.begin(), times.end());
--- a/tests/calls/attempt_rules_test.cpp
+++ b/tests/calls/attempt_rules_test.cpp
@@ -19,18 +19,19 @@
 namespace
 {
 
-/// What follows an end, by the call's safety and whether an earlier attempt
-/// may have run; always with room for a resend.
+/// Expected step after an end, by the call's safety, whether an earlier attempt
+/// may have run, and whether a resend is allowed.
 struct end_case
 {
     char const* name;
     attempt_end end;
-    next_step once;            ///< At most once, nothing ran before.
-    next_step once_tainted;    ///< At most once, an earlier one may have run.
-    next_step again;           ///< Idempotent, nothing ran before.
-    next_step once_no_room;    ///< At most once, no room for a resend.
-    next_step again_no_room;   ///< Idempotent, no room for a resend.
-    next_step again_taint_end; ///< Idempotent, tainted, no room.
+    next_step once;          ///< At most once, no earlier attempt ran.
+    next_step once_tainted;  ///< At most once, an earlier attempt may have run.
+    next_step again;         ///< Idempotent, a resend is allowed.
+    next_step once_no_room;  ///< At most once, no resend allowed.
+    next_step again_no_room; ///< Idempotent, no resend allowed.
+    next_step again_taint_end; ///< Idempotent, an earlier attempt may have run,
+                               ///< no resend allowed.
 };
 
 std::ostream& operator<<(std::ostream& out, end_case const& it)
@@ -66,10 +67,10 @@
 
 } // namespace
 
-// A caller books a result once and finds two. The first attempt's connection
-// broke after the request had left; the entry took the silence for "not run"
-// and sent it again. Only a word of the owner or the minion, or a send that
-// never began, is certain.
+// Guards against a non-idempotent call running twice: the first attempt's
+// connection broke after the request had been sent, and the entry treated the
+// missing answer as "not run" and sent it again. Only a statement of the owner
+// or the minion, or a send that never began, is certain.
 BOOST_DATA_TEST_CASE(what_follows_each_end, s_ends, it)
 {
     using rules = calls::attempt_rules;
--- a/tests/calls/call_dispatcher_test.cpp
+++ b/tests/calls/call_dispatcher_test.cpp
@@ -41,7 +41,7 @@
     return it;
 }
 
-/// Calls that end well, so that the contract has saved up resends.
+/// Starts and answers calls, so that the contract has resends in its budget.
 void save_up(calls::call_dispatcher& it, int calls)
 {
     for (int i = 0; i < calls; ++i)
@@ -79,8 +79,8 @@
     BOOST_TEST(it.in_flight() == 0U);
 }
 
-// A booking is made twice: the connection to the owner broke with a
-// non-idempotent call on it, and the entry tried another owner.
+// Guards against a non-idempotent call running twice: the connection to the
+// owner broke while it held the call, and the entry tried another owner.
 BOOST_AUTO_TEST_CASE(a_call_that_may_have_run_is_not_sent_again)
 {
     auto it = dispatcher();
@@ -111,8 +111,8 @@
     BOOST_TEST(it.resends("r-1") == 1);
 }
 
-// The minions are slow for a second, every call is sent three times, and the
-// tripled load keeps them slow for good.
+// Guards against a retry storm: the minions are slow for a second, every call
+// is sent three times, and the tripled load keeps them slow permanently.
 BOOST_AUTO_TEST_CASE(a_storm_of_failures_is_resent_within_the_budget_only)
 {
     auto it = dispatcher();
@@ -141,8 +141,8 @@
     BOOST_TEST(sends <= 2'200);
 }
 
-// A caller waits for nothing: every group is full, and its final answer comes
-// only after the back-off of a resend that has nowhere to go.
+// Guards against a needless wait: every group is full, and the caller gets its
+// final answer only after the back-off of a resend that has no candidate group.
 BOOST_AUTO_TEST_CASE(with_every_group_full_the_answer_comes_at_once)
 {
     auto it = dispatcher();
@@ -198,8 +198,8 @@
             .size() == 1U);
 }
 
-// The owner's process is stopped with the call in its hands. The caller gets
-// its answer at its deadline, and it says that the call may have run.
+// The owner's process is suspended while it holds the call. The caller gets its
+// answer at its deadline, and the answer says that the call may have run.
 BOOST_AUTO_TEST_CASE(a_silent_owner_is_given_up_on_at_the_deadline)
 {
     auto it = dispatcher();
@@ -222,9 +222,9 @@
     BOOST_TEST(it.in_flight() == 0U);
 }
 
-// An entry is stopped as planned and gives its group away. Calls that waited
-// there are refused, because the contract has no resends saved up and the
-// group was tried.
+// Guards against refusals during a planned stop: an entry hands its group over,
+// and the calls that waited there are refused because the contract has no
+// resends in its budget and the group counts as tried.
 BOOST_AUTO_TEST_CASE(a_group_that_changes_hands_is_asked_again_for_free)
 {
     calls::call_dispatcher it{{}, {}, calls::generator{5}};
--- a/tests/calls/call_queue_test.cpp
+++ b/tests/calls/call_queue_test.cpp
@@ -40,9 +40,9 @@
     BOOST_TEST(served["heavy"] == 30);
 }
 
-// One contract's calls never get a slot: another one keeps a single call
-// waiting, a new one as soon as the last is served, and each new one counts as
-// if the contract had used nothing.
+// Guards against starvation: one contract keeps a single call waiting, a new
+// one as soon as the last is served. If each new call counted as if the
+// contract had used nothing, the other contract would never get a slot.
 BOOST_AUTO_TEST_CASE(one_call_at_a_time_does_not_starve_those_who_wait)
 {
     calls::call_queue it;
@@ -75,7 +75,8 @@
     BOOST_TEST(it.pop()->request_id == "normal");
 }
 
-// A quiet contract's calls are refused because a busy one filled the queue.
+// Guards against refusing the calls of a contract with few calls because
+// another contract filled the queue.
 BOOST_AUTO_TEST_CASE(the_newest_of_the_contract_with_most_is_shed)
 {
     calls::call_queue it;
@@ -86,7 +87,8 @@
     }
     it.push(weighed("q2", "quiet", 1));
     BOOST_TEST(it.shed()->request_id == "b4");
-    // Two of weight 1 are as much as four of weight 2; one more is more.
+    // Two calls of weight 1 count as much as four of weight 2; one more exceeds
+    // them.
     it.push(weighed("q3", "quiet", 1));
     BOOST_TEST(it.shed()->request_id == "q3");
     BOOST_TEST(it.size() == 6U);
--- a/tests/calls/ejection_test.cpp
+++ b/tests/calls/ejection_test.cpp
@@ -21,14 +21,14 @@
 namespace
 {
 
-/// How a minion answers; a run of 0 ms is no answer at all.
+/// How a minion answers; a running time of 0 ms means no answer.
 struct behaviour
 {
     call_end end{call_end::succeeded};
     std::int64_t run_ms{10};
 };
 
-/// A ledger whose minions answer as they are told, a call every millisecond.
+/// A pool whose minions behave as configured, with one call per millisecond.
 class driven_ledger
 {
 public:
@@ -83,7 +83,7 @@
         return n;
     }
 
-    /// Sends to each minion since the last question.
+    /// Number of sends to each minion since the last call.
     [[nodiscard]] std::map<std::string, int> take_sends()
     {
         return std::exchange(m_sends, {});
@@ -151,8 +151,9 @@
 
 } // namespace
 
-// A tenth of the calls fail or crawl although five of six minions are well. A
-// minion that fails at once is always the least loaded, and draws most calls.
+// Guards against one bad minion that makes a tenth of the calls fail or slow
+// although five of six minions are healthy. A minion that fails immediately is
+// always the least loaded and attracts most calls.
 BOOST_DATA_TEST_CASE(one_bad_minion_is_taken_out, s_bad, it)
 {
     driven_ledger group{{s_good, s_good, it.how, s_good, s_good, s_good}};
@@ -164,8 +165,9 @@
     BOOST_TEST(group.take_sends()["2"] == 0);
 }
 
-// The service's database is down and every call fails. Taking minions out one
-// after another would leave the last one with the load of all when it is back.
+// The service's database is down and every call fails. Ejecting one minion
+// after another would leave the last one with the whole load when the database
+// is back.
 BOOST_DATA_TEST_CASE(minions_that_are_all_bad_stay_in, s_bad, it)
 {
     driven_ledger group{{it.how, it.how, it.how, it.how}};
@@ -184,8 +186,8 @@
     BOOST_TEST(group.out() == 3U);
 }
 
-// A minion is well again, but gets its full load at once, with cold caches,
-// and is taken out again. It starts with one call at a time.
+// Guards against a recovered minion that gets its full load at once, with cold
+// caches, and is ejected again. It starts with one call at a time.
 BOOST_AUTO_TEST_CASE(a_minion_that_is_well_again_comes_back_slowly)
 {
     driven_ledger group{{s_good, s_good, s_failing, s_good}};
--- a/tests/calls/fixtures.hpp
+++ b/tests/calls/fixtures.hpp
@@ -12,7 +12,7 @@
 namespace berylhill::calls::testing
 {
 
-/// Microseconds after a start that is not zero.
+/// The instant `ms` milliseconds after a start time that is not zero.
 [[nodiscard]] inline base::instant at_ms(std::int64_t ms)
 {
     return base::instant{base::duration{1'000'000'000 + ms * 1'000}};
@@ -30,7 +30,7 @@
     return it;
 }
 
-/// With a second to its deadline.
+/// A call with its deadline a second from `now`.
 [[nodiscard]] inline call
 call_of(std::string id, base::instant now, std::string contract = "kitakaze")
 {
@@ -53,7 +53,7 @@
     return it;
 }
 
-/// The actions of one kind, in their order.
+/// The actions of one type, in their order.
 template <class Action, class Actions>
 [[nodiscard]] std::vector<Action> only(Actions const& actions)
 {
--- a/tests/calls/idempotency_table_test.cpp
+++ b/tests/calls/idempotency_table_test.cpp
@@ -57,21 +57,21 @@
     BOOST_TEST(it.outcome_of(s_key)->answer().body == "12.40");
 }
 
-// The same grandmother gets two forecasts: her app asked two entries at the
-// same time, and each wrote its intent and sent the call.
+// Guards against a call with one key running twice: a client asks two entries
+// at the same time, and each writes its intent and sends the call.
 BOOST_AUTO_TEST_CASE(of_two_intents_the_first_in_the_log_may_be_sent)
 {
     auto it = table();
     BOOST_TEST(it.apply(intent("r-1", "e-1#1"), at_ms(0)));
     BOOST_TEST(!it.apply(intent("r-2", "e-2#1"), at_ms(1)));
-    // The first one read again, as after a lost answer to its append.
+    // The first intent is read again, as after a lost answer to its append.
     BOOST_TEST(it.apply(intent("r-1", "e-1#1"), at_ms(2)));
     it.apply(answer("r-2"), at_ms(3));
     BOOST_CHECK(it.state_of(s_key, s_body) == key_state::in_progress);
 }
 
-// An entry dies between writing the intent and the answer. Its call may have
-// run; a repeat must neither run it again nor say that it did not run.
+// An entry fails between writing the intent and the result. Its call may have
+// run; a repeat must neither run it again nor be told that it did not run.
 BOOST_AUTO_TEST_CASE(an_entry_dies_after_its_intent)
 {
     auto it = table();
@@ -82,13 +82,13 @@
     auto const why =
         calls::idempotency_table::refusal_for(key_state::outcome_unknown);
     BOOST_CHECK(why.execution == ran::unknown);
-    // Its result was on the way to the log all the same.
+    // Its result had been sent to the log nevertheless.
     it.apply(answer("r-1"), at_ms(30));
     BOOST_CHECK(it.state_of(s_key, s_body) == key_state::answered);
 }
 
-// The intent of a dead entry is read only after its death was noticed: the
-// repeat would be told "in progress" for ever.
+// Guards against a key that stays in progress permanently: the intent of a
+// failed entry is read only after its failure was noticed.
 BOOST_AUTO_TEST_CASE(an_intent_read_after_its_writer_is_gone_is_unknown)
 {
     auto it = table();
--- a/tests/calls/minion_pool_test.cpp
+++ b/tests/calls/minion_pool_test.cpp
@@ -43,10 +43,10 @@
     BOOST_TEST(it.find("m-1")->busy() == 0);
 }
 
-// A minion with 8 slots gets a ninth call and slows all nine down: calls that
-// their callers gave up on were taken off the count while the minion was
-// still at them. The slot has to stay taken until the minion has answered, or
-// the longest run since the send is over.
+// Guards against overloading a minion: calls that their callers gave up on were
+// no longer counted while the minion still ran them, so that a minion with 8
+// slots got a ninth call and all nine were slow. The slot stays taken until the
+// minion has answered or the maximum running time since the send has passed.
 BOOST_AUTO_TEST_CASE(a_call_given_up_on_keeps_its_slot)
 {
     calls::minion_pool_settings settings;
@@ -71,8 +71,8 @@
     BOOST_TEST(sent[0].request_id == "r-3");
 }
 
-// A caller gets somebody else's report: an answer came after its own caller
-// had been told "unknown", and was passed on to whoever asked next.
+// Guards against an answer delivered to another caller: an answer arrived after
+// its own caller had been told "unknown", and was passed on to the next one.
 BOOST_AUTO_TEST_CASE(a_late_answer_reaches_nobody_and_frees_the_slot)
 {
     auto it = ledger_with({minion("m-1", 1)});
@@ -90,8 +90,8 @@
     BOOST_TEST(sent[0].request_id == "r-2");
 }
 
-// Two answers arrive in the other order than their calls, and a third twice:
-// each goes to its own request id, and the doubled one nowhere.
+// Two answers arrive in the opposite order of their calls, and one arrives
+// twice: each goes to its own request id, and the duplicate is dropped.
 BOOST_AUTO_TEST_CASE(crossed_and_doubled_answers_go_to_their_own_calls)
 {
     auto it = ledger_with({minion("m-1")});
@@ -111,8 +111,8 @@
     BOOST_TEST(first[0].request_id == "r-1");
 }
 
-// A result is booked twice: the offer reached the owner twice, and the second
-// one was sent to another minion.
+// Guards against a call running twice: the offer reached the owner twice, and
+// the second one was sent to another minion.
 BOOST_AUTO_TEST_CASE(an_attempt_offered_twice_is_sent_once)
 {
     auto it = ledger_with({minion("m-1"), minion("m-2")});
@@ -135,14 +135,14 @@
         sent += static_cast<int>(
             only<calls::send_to_minion>(it.offer(call, at_ms(0))).size());
     }
-    // One connection stays free for pings.
+    // One connection is kept free for pings.
     BOOST_TEST(sent == 5);
     BOOST_TEST(it.find("m-1")->busy() == 2);
     BOOST_TEST(it.find("m-2")->busy() == 3);
 }
 
-// A minion is being replaced; calls that were sent to it after the stop was
-// announced are lost with it.
+// Guards against losing calls with a minion that is being replaced: they were
+// sent to it after its stop was announced.
 BOOST_AUTO_TEST_CASE(a_leaving_minion_gets_nothing_new)
 {
     auto it = ledger_with({minion("m-1"), minion("m-2")});
@@ -162,8 +162,9 @@
     BOOST_TEST(it.find(at)->busy() == 0);
 }
 
-// The platform's list drops a minion by mistake and shows it again: the calls
-// on it were forgotten, and it got twice what it can hold.
+// Guards against overloading a minion that the platform's endpoint list drops
+// by mistake and shows again: its running calls were forgotten, and it got
+// twice as many as it can hold.
 BOOST_AUTO_TEST_CASE(a_minion_that_drops_off_the_list_keeps_its_count)
 {
     auto it = ledger_with({minion("m-1", 2)});
@@ -191,8 +192,9 @@
     BOOST_TEST(sent[0].request_id == "r-1");
 }
 
-// A caller waits its whole timeout for "too late", which was sure from the
-// start: the queue before it took longer than its deadline.
+// Guards against a caller waiting its whole timeout for a refusal that was
+// certain from the start: the queue before its call took longer than its
+// deadline.
 BOOST_AUTO_TEST_CASE(a_call_that_cannot_make_its_deadline_is_refused_at_once)
 {
     calls::minion_pool_settings settings;
@@ -235,8 +237,9 @@
     BOOST_TEST(it.queued() == 0U);
 }
 
-// Minions were slow for a minute; now they are fast, but calls with little time
-// are refused for ever, because only calls that are sent can show it.
+// Guards against refusing calls with little time permanently: the minions were
+// slow for a minute and are fast again, but only calls that are sent can show
+// it.
 BOOST_AUTO_TEST_CASE(minions_that_are_fast_again_get_calls_with_little_time)
 {
     auto it = ledger_with({minion("m-1"), minion("m-2")});
@@ -263,9 +266,10 @@
     BOOST_TEST(sent > 50U);
 }
 
-// Callers allow 60 ms for calls of 20 ms. Under load two thirds of the answers
-// are late, although the minions work at full speed: run times were learned
-// from answers in time only, so the queue grew until most were late.
+// Guards against a queue that grows until most answers are late. Callers allow
+// 60 ms for calls of 20 ms; under load two thirds of the answers were late
+// although the minions worked at full speed, because running times were learned
+// only from answers in time.
 BOOST_AUTO_TEST_CASE(late_answers_count_for_the_run_time)
 {
     auto it = ledger_with({minion("m-1")});
@@ -276,8 +280,8 @@
     BOOST_TEST((it.digest(at_ms(1'500)).run_time > before));
 }
 
-// Calls that were sent with little time left are late, and half of the good
-// minions are taken out for it, just when calls wait.
+// Guards against ejecting good minions: calls sent with little time left were
+// late, and half of the minions were ejected for it while calls were waiting.
 BOOST_AUTO_TEST_CASE(a_call_with_little_time_left_is_not_held_against_a_minion)
 {
     auto it = ledger_with({minion("m-1"), minion("m-2")});
--- a/tests/calls/router_test.cpp
+++ b/tests/calls/router_test.cpp
@@ -42,8 +42,8 @@
 
 } // namespace
 
-// A digest is half a second old and shows one group idle: every call goes
-// there and it is full, while the others idle.
+// Guards against sending every call to one group: its digest, half a second
+// old, shows it idle, and it fills up while the others stay idle.
 BOOST_AUTO_TEST_CASE(calls_since_the_digest_count)
 {
     calls::router it{{}, calls::generator{9}};
@@ -52,7 +52,7 @@
     {
         it.heard(loaded(group, 5), at_ms(0));
     }
-    // All are level at 215 / 4 calls.
+    // All groups are equally loaded at 215 / 4 calls.
     auto const idle = chosen(it, 200, at_ms(400)).at("idle");
     BOOST_TEST(idle >= 50);
     BOOST_TEST(idle <= 58);
@@ -66,8 +66,8 @@
     BOOST_TEST(chosen(it, 10, at_ms(1)).at("idle") == 10);
 }
 
-// A group's owner died; its last digest, which showed it idle, draws calls for
-// ever.
+// Guards against a failed owner whose last digest shows its group idle and
+// attracts calls permanently.
 BOOST_AUTO_TEST_CASE(a_stale_digest_draws_no_calls_while_there_are_others)
 {
     calls::router it{{}, calls::generator{9}};
@@ -82,8 +82,8 @@
     BOOST_TEST(chosen(it, 1, at_ms(40'000)).at("none") == 1);
 }
 
-// An old owner's digest overtakes the new owner's, and calls go to an owner
-// that refuses them.
+// Guards against sending calls to a former owner that refuses them: its digest
+// arrives after that of the new owner.
 BOOST_AUTO_TEST_CASE(a_digest_of_an_earlier_epoch_is_ignored)
 {
     calls::router it{{}, calls::generator{9}};
--- a/tests/calls/side_rule_test.cpp
+++ b/tests/calls/side_rule_test.cpp
@@ -33,8 +33,8 @@
 
 } // namespace
 
-// During a move the same report is made in both data centres: two entries had
-// read the change of side at different times, and each went by its clock.
+// Guards against work done on both sides during a move: two entries read the
+// change of side at different times, and each decided by its own clock.
 BOOST_DATA_TEST_CASE(the_offset_alone_says_the_side, s_sides, it)
 {
     calls::side_rule first;
