--- a/libraries/calls/admission.cpp
+++ b/libraries/calls/admission.cpp
@@ -298,12 +298,13 @@
     if (it == m_contracts.end())
     {
         return refusal{ran::not_run, refusal_code::unknown_contract,
-                       "no contract " + contract + " is in force", 0};
+                       "contract '" + contract + "' is not in force", 0};
     }
     if (!contains(it->second.gate.limits().services, service))
     {
-        return refusal{ran::not_run, refusal_code::service_not_allowed,
-                       "contract " + contract + " does not name " + service, 0};
+        return refusal{
+            ran::not_run, refusal_code::service_not_allowed,
+            "contract " + contract + " does not include service " + service, 0};
     }
     return std::nullopt;
 }
--- a/libraries/calls/call_dispatcher.cpp
+++ b/libraries/calls/call_dispatcher.cpp
@@ -319,7 +319,7 @@
 void call_dispatcher::refuse(request const& it, ran work, dispatch_actions& out)
 {
     refusal why{ran::not_run, refusal_code::no_minion,
-                "no owner of minions of " + it.service + " is known",
+                "no minion group of service '" + it.service + "' is known",
                 s_no_group_retry_s};
     if (it.last_refusal)
     {
@@ -328,7 +328,7 @@
     if (work == ran::unknown)
     {
         why = {ran::unknown, refusal_code::outcome_unknown,
-               "the call was sent and no whole answer came", 0};
+               "the call was sent and no complete answer arrived", 0};
     }
     out.emplace_back(refuse_request{it.original.request_id, why});
     finish(std::string{it.original.request_id}, {}, out);
--- a/libraries/calls/contract_gate.cpp
+++ b/libraries/calls/contract_gate.cpp
@@ -170,7 +170,8 @@
     auto const spread =
         freed_per_s > 0 ? m_refused / freed_per_s : s_longest_retry_s;
     auto const latest = std::clamp(spread, s_least_spread_s, s_longest_retry_s);
-    return {ran::not_run, code, "the limit of contract " + m_limits.name,
+    return {ran::not_run, code,
+            "reached the limit of contract " + m_limits.name,
             uniform(random, latest / 2, latest * 1.5)};
 }
 
--- a/libraries/calls/idempotency_table.cpp
+++ b/libraries/calls/idempotency_table.cpp
@@ -131,18 +131,19 @@
     {
     case key_state::conflict:
         return {ran::not_run, refusal_code::key_conflict,
-                "another request was made under this key", 0};
+                "this idempotency key was used for another request", 0};
     case key_state::in_progress:
         // The refusal refers to the first call, which may already have run.
         return {ran::unknown, refusal_code::key_in_progress,
-                "the first call with this key is in progress", s_ask_again_s};
+                "the first call with this idempotency key is in progress",
+                s_ask_again_s};
     case key_state::unused:
     case key_state::answered:
     case key_state::outcome_unknown:
         break;
     }
     return {ran::unknown, refusal_code::outcome_unknown,
-            "the first call with this key may have run", 0};
+            "the first call with this idempotency key may have run", 0};
 }
 
 void idempotency_table::expire(base::instant now)
--- a/libraries/calls/minion_pool.cpp
+++ b/libraries/calls/minion_pool.cpp
@@ -148,7 +148,7 @@
         out.emplace_back(refuse_call{
             request_id,
             {ran::not_run, refusal_code::minion_refused,
-             "minion " + found->second.minion + " did not take the call",
+             "minion " + found->second.minion + " did not accept the call",
              s_least_retry_s}});
     }
     end_flight(request_id, call_end::failed, now);
@@ -236,10 +236,11 @@
     minion_pool_actions out;
     while (auto const it = m_queue.pop())
     {
-        out.emplace_back(refuse_call{
-            it->request_id,
-            {ran::not_run, refusal_code::stopping,
-             "the owner of " + m_group + " is stopping", s_least_retry_s}});
+        out.emplace_back(
+            refuse_call{it->request_id,
+                        {ran::not_run, refusal_code::stopping,
+                         "the owner of group " + m_group + " is stopping",
+                         s_least_retry_s}});
     }
     return out;
 }
@@ -308,10 +309,10 @@
     {
         minion->second.give_up(request_id);
     }
-    out.emplace_back(
-        refuse_call{request_id,
-                    {ran::unknown, refusal_code::outcome_unknown,
-                     "no whole answer came from minion " + it.minion, 0}});
+    out.emplace_back(refuse_call{
+        request_id,
+        {ran::unknown, refusal_code::outcome_unknown,
+         "no complete answer arrived from minion " + it.minion, 0}});
 }
 
 void minion_pool::note_timeout(flight const& it, base::instant now)
--- a/libraries/calls/minion_pool_choice.cpp
+++ b/libraries/calls/minion_pool_choice.cpp
@@ -119,7 +119,7 @@
                                    s_least_retry_s, s_longest_retry_s);
     out.emplace_back(refuse_call{
         it.request_id,
-        {ran::not_run, code, "group " + m_group + " has no room in time",
+        {ran::not_run, code, "group " + m_group + " has no free slot in time",
          uniform(m_random, spread / 2, spread * 1.5)}});
 }
 
