--- a/libraries/calls/admission.cpp
+++ b/libraries/calls/admission.cpp
@@ -1,7 +1,7 @@
 #include <calls/admission.hpp>
 
 #include <base/hash.hpp>
-#include <calls/limit_share.hpp>
+#include <calls/divide_limit.hpp>
 
 #include <algorithm>
 #include <cmath>
@@ -36,12 +36,12 @@
     auto& state = found->second;
     if (!added)
     {
-        state.gate.set_limits(it);
+        state.limiter.set_limits(it);
     }
     if (!m_live.empty())
     {
-        place(state);
-        divide(state, now);
+        select_homes(state);
+        assign_share(state, now);
     }
 }
 
@@ -66,11 +66,11 @@
             // Until the peers learn of a joining entry, they still use the
             // whole limit. Its first share is therefore zero, so that the limit
             // holds until the settling time is over.
-            it.gate.set_part({}, now, m_settings.settling_time);
+            it.limiter.set_share({}, now, m_settings.settling_time);
         }
-        forget_gone(it);
-        place(it);
-        divide(it, now);
+        release_departed(it);
+        select_homes(it);
+        assign_share(it, now);
     }
 }
 
@@ -95,7 +95,7 @@
     entry_demand own{m_entry, {}};
     for (auto& [name, it] : m_contracts)
     {
-        auto demand = it.gate.report(now);
+        auto demand = it.limiter.report(now);
         if (demand.calls_per_s > 0 || demand.at_once > 0)
         {
             own.contracts.push_back(std::move(demand));
@@ -104,7 +104,7 @@
     update_demand(own);
     for (auto& [name, it] : m_contracts)
     {
-        divide(it, now);
+        assign_share(it, now);
     }
     return own;
 }
@@ -114,7 +114,7 @@
                                std::vector<std::string> const& tried,
                                base::instant now)
 {
-    if (auto why = forbidden(contract, service))
+    if (auto why = check_contract(contract, service))
     {
         return {admission_state::refused, {}, std::move(*why)};
     }
@@ -145,7 +145,7 @@
         return {
             admission_state::ask_home, *open[static_cast<std::size_t>(at)], {}};
     }
-    auto why = own ? *own : state.gate.refuse_as_exhausted(m_random);
+    auto why = own ? *own : state.limiter.refuse_as_exhausted(m_random);
     return {admission_state::refused, {}, std::move(why)};
 }
 
@@ -156,7 +156,7 @@
     auto const it = m_contracts.find(contract);
     if (it != m_contracts.end())
     {
-        it->second.exhausted_until[home] = now + m_settings.exhausted_for;
+        it->second.exhausted_until[home] = now + m_settings.exhausted_pause;
     }
 }
 
@@ -165,12 +165,12 @@
                                             std::string const& service,
                                             base::instant now)
 {
-    if (auto why = forbidden(contract, service))
+    if (auto why = check_contract(contract, service))
     {
         return why;
     }
     auto& state = m_contracts.at(contract);
-    auto why = state.gate.admit(now, m_random);
+    auto why = state.limiter.admit(now, m_random);
     if (!why)
     {
         ++state.admitted_for[peer];
@@ -194,17 +194,17 @@
     {
         return;
     }
-    it->second.gate.finish(took, resends, now);
+    it->second.limiter.finish(took, resends, now);
     if (--held->second == 0)
     {
         it->second.admitted_for.erase(held);
     }
 }
 
-limit_part admission::part_of(std::string const& contract) const
+limit_share admission::share_of(std::string const& contract) const
 {
     auto const it = m_contracts.find(contract);
-    return it == m_contracts.end() ? limit_part{} : it->second.gate.part();
+    return it == m_contracts.end() ? limit_share{} : it->second.limiter.share();
 }
 
 std::vector<std::string> admission::homes_of(std::string const& contract) const
@@ -214,29 +214,29 @@
                                    : it->second.homes;
 }
 
-void admission::place(contract_state& it) const
+void admission::select_homes(contract_state& it) const
 {
-    auto const& limits = it.gate.limits();
+    auto const& limits = it.limiter.limits();
     auto const wanted = std::floor(static_cast<double>(limits.calls_at_once) /
-                                   m_settings.least_at_once);
+                                   m_settings.min_calls_at_once);
     auto const n = std::clamp(static_cast<std::size_t>(std::max(wanted, 0.0)),
-                              std::min(m_settings.least_homes, m_live.size()),
+                              std::min(m_settings.min_homes, m_live.size()),
                               m_live.size());
     it.homes = base::rendezvous_order(limits.name, m_live);
     it.homes.resize(n);
     std::sort(it.homes.begin(), it.homes.end());
 }
 
-void admission::divide(contract_state& it, base::instant now) const
+void admission::assign_share(contract_state& it, base::instant now) const
 {
     auto const self =
         std::lower_bound(it.homes.begin(), it.homes.end(), m_entry);
     if (self == it.homes.end() || *self != m_entry)
     {
-        it.gate.set_part({}, now, m_settings.settling_time);
+        it.limiter.set_share({}, now, m_settings.settling_time);
         return;
     }
-    auto const& limits = it.gate.limits();
+    auto const& limits = it.limiter.limits();
     std::vector<double> rates(it.homes.size());
     std::vector<double> at_once(it.homes.size());
     for (std::size_t i = 0; i < it.homes.size(); ++i)
@@ -251,18 +251,20 @@
     auto const index = static_cast<std::size_t>(self - it.homes.begin());
     // In whole tokens: a share of less than one token would never admit a call,
     // and its rate would be lost.
-    auto const burst = divide_units(static_cast<double>(limits.call_burst),
-                                    rates, m_settings.floor)[index];
+    auto const burst =
+        divide_units(static_cast<double>(limits.call_burst), rates,
+                     m_settings.min_even_share_fraction)[index];
     auto const rate = limits.call_burst > 0
                           ? limits.calls_per_s * burst /
                                 static_cast<double>(limits.call_burst)
                           : 0;
-    auto const units = divide_units(static_cast<double>(limits.calls_at_once),
-                                    at_once, m_settings.floor)[index];
-    it.gate.set_part({rate, burst, units}, now, m_settings.settling_time);
+    auto const units =
+        divide_units(static_cast<double>(limits.calls_at_once), at_once,
+                     m_settings.min_even_share_fraction)[index];
+    it.limiter.set_share({rate, burst, units}, now, m_settings.settling_time);
 }
 
-void admission::forget_gone(contract_state& it) const
+void admission::release_departed(contract_state& it) const
 {
     // The end of calls that a failed entry had in flight is never reported. If
     // they stayed counted, they would lower the contract's concurrency
@@ -276,7 +278,7 @@
         }
         for (std::int64_t n = held->second; n > 0; --n)
         {
-            it.gate.drop();
+            it.limiter.drop();
         }
         held = it.admitted_for.erase(held);
     }
@@ -291,8 +293,9 @@
     return std::binary_search(m_live.begin(), m_live.end(), entry);
 }
 
-std::optional<refusal> admission::forbidden(std::string const& contract,
-                                            std::string const& service) const
+std::optional<refusal>
+admission::check_contract(std::string const& contract,
+                          std::string const& service) const
 {
     auto const it = m_contracts.find(contract);
     if (it == m_contracts.end())
@@ -300,7 +303,7 @@
         return refusal{ran::not_run, refusal_code::unknown_contract,
                        "contract '" + contract + "' is not in force", 0};
     }
-    if (!contains(it->second.gate.limits().services, service))
+    if (!contains(it->second.limiter.limits().services, service))
     {
         return refusal{
             ran::not_run, refusal_code::service_not_allowed,
--- a/libraries/calls/admission.hpp
+++ b/libraries/calls/admission.hpp
@@ -2,7 +2,7 @@
 
 #include <base/time.hpp>
 #include <calls/call_outcome.hpp>
-#include <calls/contract_gate.hpp>
+#include <calls/contract_limiter.hpp>
 #include <calls/entry_demand.hpp>
 #include <calls/generator.hpp>
 #include <model/contract.hpp>
@@ -24,15 +24,15 @@
     /// At least two gossip rounds.
     base::duration settling_time{std::chrono::milliseconds{1'000}};
     /// Fraction of its even share that a home without demand keeps.
-    double floor{0.1};
+    double min_even_share_fraction{0.1};
     /// Minimum concurrency of a home, as far as the limit allows: with smaller
     /// shares, one home is exhausted while others have capacity.
-    double least_at_once{32};
+    double min_calls_at_once{32};
     /// Minimum number of homes, so that the failure of one takes only its own
     /// share of the limit with it.
-    std::size_t least_homes{3};
+    std::size_t min_homes{3};
     /// A home that refused is not asked again for this long.
-    base::duration exhausted_for{std::chrono::milliseconds{50}};
+    base::duration exhausted_pause{std::chrono::milliseconds{50}};
 
     friend bool operator==(admission_settings const&,
                            admission_settings const&) = default;
@@ -120,7 +120,7 @@
 
     /// The share of the contract's limits in force at this entry; empty for an
     /// unknown contract.
-    [[nodiscard]] limit_part part_of(std::string const& contract) const;
+    [[nodiscard]] limit_share share_of(std::string const& contract) const;
 
     /// The homes of a contract; empty for an unknown contract.
     [[nodiscard]] std::vector<std::string>
@@ -129,7 +129,7 @@
 private:
     struct contract_state
     {
-        contract_gate gate;
+        contract_limiter limiter;
         /// Sorted by name.
         std::vector<std::string> homes;
         /// Keyed by home.
@@ -139,12 +139,13 @@
         std::unordered_map<std::string, std::int64_t> admitted_for;
     };
 
-    void place(contract_state& it) const;
-    void divide(contract_state& it, base::instant now) const;
-    void forget_gone(contract_state& it) const;
+    void select_homes(contract_state& it) const;
+    void assign_share(contract_state& it, base::instant now) const;
+    void release_departed(contract_state& it) const;
     [[nodiscard]] bool is_live(std::string const& entry) const;
     [[nodiscard]] std::optional<refusal>
-    forbidden(std::string const& contract, std::string const& service) const;
+    check_contract(std::string const& contract,
+                   std::string const& service) const;
 
     std::string m_entry;
     admission_settings m_settings;
--- a/libraries/calls/attempt_rules.cpp
+++ b/libraries/calls/attempt_rules.cpp
@@ -14,7 +14,7 @@
         return true;
     case attempt_end::answered:
     case attempt_end::connection_lost:
-    case attempt_end::cut_short:
+    case attempt_end::answer_truncated:
     case attempt_end::timed_out:
     case attempt_end::owner_lost:
         return false;
@@ -22,10 +22,10 @@
     return false;
 }
 
-next_step attempt_rules::after(attempt_end end,
-                               model::rerun safety,
-                               ran earlier,
-                               resend_room room) noexcept
+next_step attempt_rules::decide(attempt_end end,
+                                model::rerun safety,
+                                ran earlier,
+                                resend_allowance room) noexcept
 {
     if (end == attempt_end::answered)
     {
@@ -35,7 +35,7 @@
     // A non-idempotent call of which any byte may have been sent could run
     // twice. It is sent again only if it certainly did not run.
     auto const may_resend = not_run || safety == model::rerun::idempotent;
-    if (may_resend && room == resend_room::left)
+    if (may_resend && room == resend_allowance::allowed)
     {
         return next_step::resend;
     }
@@ -47,9 +47,11 @@
     return end != attempt_end::not_sent && end != attempt_end::ownership_moved;
 }
 
-bool attempt_rules::may_hedge(model::rerun safety, resend_room room) noexcept
+bool attempt_rules::may_hedge(model::rerun safety,
+                              resend_allowance room) noexcept
 {
-    return safety == model::rerun::idempotent && room == resend_room::left;
+    return safety == model::rerun::idempotent &&
+           room == resend_allowance::allowed;
 }
 
 } // namespace berylhill::calls
--- a/libraries/calls/attempt_rules.hpp
+++ b/libraries/calls/attempt_rules.hpp
@@ -11,15 +11,15 @@
 /// How one attempt at a call ended, as far as the calling entry knows.
 enum class attempt_end : std::uint8_t
 {
-    answered,        ///< A complete answer with the request id of the call.
-    not_sent,        ///< No byte left this entry.
-    owner_refused,   ///< The group's owner answered that it sent nothing.
-    ownership_moved, ///< The owner hands the group over; it sent nothing.
-    minion_refused,  ///< The minion answered that it did not run the call.
-    connection_lost, ///< The connection broke after a byte may have been sent.
-    cut_short,       ///< Only part of an answer arrived.
-    timed_out,       ///< No answer arrived in time.
-    owner_lost,      ///< The owner stopped answering while it held the call.
+    answered,         ///< A complete answer with the request id of the call.
+    not_sent,         ///< No byte left this entry.
+    owner_refused,    ///< The group's owner answered that it sent nothing.
+    ownership_moved,  ///< The owner hands the group over; it sent nothing.
+    minion_refused,   ///< The minion answered that it did not run the call.
+    connection_lost,  ///< The connection broke after a byte may have been sent.
+    answer_truncated, ///< Only part of an answer arrived.
+    timed_out,        ///< No answer arrived in time.
+    owner_lost,       ///< The owner stopped answering while it held the call.
 };
 
 enum class next_step : std::uint8_t
@@ -31,10 +31,11 @@
 };
 
 /// Whether further attempts at a call are allowed.
-enum class resend_room : std::uint8_t
+enum class resend_allowance : std::uint8_t
 {
-    left,
-    none, ///< The budget, limit, deadline or number of attempts is exhausted.
+    allowed,
+    exhausted, ///< The budget, limit, deadline or number of attempts is
+               ///< exhausted.
 };
 
 /// The rules for resending calls.
@@ -48,10 +49,10 @@
     /// The next step after the latest attempt. `earlier` is `unknown` when an
     /// earlier attempt at the same call may have run; the call can then no
     /// longer be reported as not run. Thread-safe.
-    [[nodiscard]] static next_step after(attempt_end end,
-                                         model::rerun safety,
-                                         ran earlier,
-                                         resend_room room) noexcept;
+    [[nodiscard]] static next_step decide(attempt_end end,
+                                          model::rerun safety,
+                                          ran earlier,
+                                          resend_allowance room) noexcept;
 
     /// Whether a resend after this end is charged to the retry budget. It is
     /// not if no work was assigned: when a group changes its owner, a planned
@@ -61,7 +62,7 @@
     /// Whether a second attempt may start while the first is still running.
     /// Thread-safe.
     [[nodiscard]] static bool may_hedge(model::rerun safety,
-                                        resend_room room) noexcept;
+                                        resend_allowance room) noexcept;
 };
 
 } // namespace berylhill::calls
--- a/libraries/calls/call.hpp
+++ b/libraries/calls/call.hpp
@@ -21,7 +21,7 @@
     base::instant deadline;
     /// Whether the call may be sent again when it is unknown whether it ran.
     model::rerun safety{model::rerun::at_most_once};
-    model::urgency urgent{model::urgency::normal};
+    model::urgency urgency{model::urgency::normal};
 
     friend bool operator==(call const&, call const&) = default;
 };
--- a/libraries/calls/call_dispatcher.cpp
+++ b/libraries/calls/call_dispatcher.cpp
@@ -46,12 +46,12 @@
 
 void call_dispatcher::update_group(group_digest const& it, base::instant now)
 {
-    m_router.heard(it, now);
+    m_router.update_group(it, now);
 }
 
 void call_dispatcher::remove_group(std::string const& group)
 {
-    m_router.forget(group);
+    m_router.remove_group(group);
 }
 
 dispatch_actions call_dispatcher::start(call const& it,
@@ -64,9 +64,9 @@
     fresh.service = service;
     auto& added =
         m_requests.emplace(it.request_id, std::move(fresh)).first->second;
-    m_budget.first_attempt(it.contract);
-    m_plans.push({it.deadline, it.request_id, plan_kind::give_up, {}});
-    send(added, wanted_room::any, false, now, out);
+    m_budget.add_first_attempt(it.contract);
+    m_timers.push({it.deadline, it.request_id, timer_kind::deadline, {}});
+    send(added, required_capacity::any, false, now, out);
     return out;
 }
 
@@ -85,20 +85,21 @@
                                     { return each.id == report.attempt_id; });
     auto const paid = attempt_rules::costs_budget(report.end);
     ended->open = false;
-    ended->moved = !paid;
+    ended->uncharged = !paid;
     if (report.end == attempt_end::owner_refused)
     {
-        m_router.refused(ended->to.group);
+        m_router.mark_full(ended->to.group);
     }
     if (report.why)
     {
         it.last_refusal = report.why;
     }
-    auto const step = attempt_rules::after(report.end, it.original.safety,
-                                           it.earlier, room_for(it, paid, now));
+    auto const step = attempt_rules::decide(report.end, it.original.safety,
+                                            it.earlier_attempts,
+                                            allowance_for(it, paid, now));
     if (!attempt_rules::surely_not_run(report.end))
     {
-        it.earlier = ran::unknown;
+        it.earlier_attempts = ran::unknown;
     }
     auto const others_open =
         std::any_of(it.attempts.begin(), it.attempts.end(),
@@ -108,15 +109,15 @@
         finish(it.original.request_id, report.attempt_id, out);
         return out;
     }
-    if (others_open || it.resend_planned)
+    if (others_open || it.resend_scheduled)
     {
         return out;
     }
-    if (step == next_step::resend && resend_later(it, report.end, now))
+    if (step == next_step::resend && schedule_resend(it, report.end, now))
     {
         return out;
     }
-    refuse(it, it.earlier, out);
+    refuse(it, it.earlier_attempts, out);
     return out;
 }
 
@@ -133,11 +134,11 @@
 dispatch_actions call_dispatcher::expire(base::instant now)
 {
     dispatch_actions out;
-    while (!m_plans.empty() && m_plans.top().at <= now)
+    while (!m_timers.empty() && m_timers.top().at <= now)
     {
-        auto const it = m_plans.top();
-        m_plans.pop();
-        run_plan(it, now, out);
+        auto const it = m_timers.top();
+        m_timers.pop();
+        run_timer(it, now, out);
     }
     m_router.expire(now);
     return out;
@@ -145,11 +146,11 @@
 
 std::optional<base::instant> call_dispatcher::next_expiry() const
 {
-    if (m_plans.empty())
+    if (m_timers.empty())
     {
         return std::nullopt;
     }
-    return m_plans.top().at;
+    return m_timers.top().at;
 }
 
 std::int32_t call_dispatcher::resends(std::string const& request_id) const
@@ -159,22 +160,22 @@
     {
         return 0;
     }
-    return std::max(sent(it->second) - 1, std::int32_t{0});
+    return std::max(charged_attempts(it->second) - 1, std::int32_t{0});
 }
 
-std::int32_t call_dispatcher::sent(request const& it)
+std::int32_t call_dispatcher::charged_attempts(request const& it)
 {
     return static_cast<std::int32_t>(
         std::count_if(it.attempts.begin(), it.attempts.end(),
-                      [](attempt const& each) { return !each.moved; }));
+                      [](attempt const& each) { return !each.uncharged; }));
 }
 
-std::vector<std::string> call_dispatcher::tried(request const& it)
+std::vector<std::string> call_dispatcher::tried_groups(request const& it)
 {
     std::vector<std::string> groups;
     for (auto const& each : it.attempts)
     {
-        if (!each.moved)
+        if (!each.uncharged)
         {
             groups.push_back(each.to.group);
         }
@@ -183,21 +184,21 @@
 }
 
 void call_dispatcher::send(request& it,
-                           wanted_room room,
+                           required_capacity room,
                            bool paid,
                            base::instant now,
                            dispatch_actions& out)
 {
-    auto const to = m_router.choose(it.service, tried(it), room, now);
+    auto const to = m_router.choose(it.service, tried_groups(it), room, now);
     auto const first = it.attempts.empty();
-    if (!to || (paid && !m_budget.take(it.original.contract)))
+    if (!to || (paid && !m_budget.take_resend(it.original.contract)))
     {
         auto const waits =
             std::any_of(it.attempts.begin(), it.attempts.end(),
                         [](attempt const& each) { return each.open; });
         if (!waits)
         {
-            refuse(it, it.earlier, out);
+            refuse(it, it.earlier_attempts, out);
         }
         return;
     }
@@ -209,31 +210,32 @@
     m_attempts.emplace(offered.request_id, it.original.request_id);
     if (first)
     {
-        plan_hedge(it, *to, now);
+        schedule_hedge(it, *to, now);
     }
     out.emplace_back(
         send_to_owner{it.original.request_id, std::move(offered), *to});
 }
 
-void call_dispatcher::plan_hedge(request const& it,
-                                 route const& to,
-                                 base::instant now)
+void call_dispatcher::schedule_hedge(request const& it,
+                                     route const& to,
+                                     base::instant now)
 {
-    if (!attempt_rules::may_hedge(it.original.safety, room_for(it, true, now)))
+    if (!attempt_rules::may_hedge(it.original.safety,
+                                  allowance_for(it, true, now)))
     {
         return;
     }
     auto const at = m_router.hedge_at(to.group, it.original, now);
     if (at)
     {
-        m_plans.push(
-            {*at, it.original.request_id, plan_kind::hedge, wanted_room::idle});
+        m_timers.push({*at, it.original.request_id, timer_kind::hedge,
+                       required_capacity::idle});
     }
 }
 
-void call_dispatcher::run_plan(plan const& it,
-                               base::instant now,
-                               dispatch_actions& out)
+void call_dispatcher::run_timer(timer const& it,
+                                base::instant now,
+                                dispatch_actions& out)
 {
     auto const found = m_requests.find(it.request_id);
     if (found == m_requests.end())
@@ -243,21 +245,21 @@
     auto& planned = found->second;
     switch (it.kind)
     {
-    case plan_kind::give_up:
+    case timer_kind::deadline:
     {
         // An attempt that an owner holds may already have been sent to a
         // minion.
         auto const open =
             std::any_of(planned.attempts.begin(), planned.attempts.end(),
                         [](attempt const& each) { return each.open; });
-        refuse(planned, open ? ran::unknown : planned.earlier, out);
+        refuse(planned, open ? ran::unknown : planned.earlier_attempts, out);
         return;
     }
-    case plan_kind::resend:
-        planned.resend_planned = false;
-        send(planned, it.room, it.paid, now, out);
+    case timer_kind::resend:
+        planned.resend_scheduled = false;
+        send(planned, it.capacity, it.charged, now, out);
         return;
-    case plan_kind::hedge:
+    case timer_kind::hedge:
         hedge(planned, now, out);
         return;
     }
@@ -268,32 +270,32 @@
                             dispatch_actions& out)
 {
     auto const one_open = it.attempts.size() == 1 && it.attempts[0].open;
-    if (one_open &&
-        attempt_rules::may_hedge(it.original.safety, room_for(it, true, now)))
+    if (one_open && attempt_rules::may_hedge(it.original.safety,
+                                             allowance_for(it, true, now)))
     {
-        send(it, wanted_room::idle, true, now, out);
+        send(it, required_capacity::idle, true, now, out);
     }
 }
 
-bool call_dispatcher::resend_later(request& it,
-                                   attempt_end end,
-                                   base::instant now)
+bool call_dispatcher::schedule_resend(request& it,
+                                      attempt_end end,
+                                      base::instant now)
 {
     // A refusal by one full owner does not tell the load of the others, but
     // most groups are usually full at the same time.
     auto const room = end == attempt_end::owner_refused
-                          ? wanted_room::short_queue
-                          : wanted_room::any;
+                          ? required_capacity::short_queue
+                          : required_capacity::any;
     // Without a candidate group, the caller is refused now rather than after
     // the back-off.
-    if (!m_router.offers(it.service, tried(it), room, now))
+    if (!m_router.has_candidate(it.service, tried_groups(it), room, now))
     {
         return false;
     }
     auto const number = static_cast<std::int32_t>(it.attempts.size());
-    it.resend_planned = true;
-    m_plans.push({now + m_budget.back_off(number), it.original.request_id,
-                  plan_kind::resend, room, attempt_rules::costs_budget(end)});
+    it.resend_scheduled = true;
+    m_timers.push({now + m_budget.back_off(number), it.original.request_id,
+                   timer_kind::resend, room, attempt_rules::costs_budget(end)});
     return true;
 }
 
@@ -334,20 +336,21 @@
     finish(std::string{it.original.request_id}, {}, out);
 }
 
-resend_room
-call_dispatcher::room_for(request const& it, bool paid, base::instant now) const
+resend_allowance call_dispatcher::allowance_for(request const& it,
+                                                bool paid,
+                                                base::instant now) const
 {
     if (now + m_budget.settings().first_back_off >= it.original.deadline)
     {
-        return resend_room::none;
+        return resend_allowance::exhausted;
     }
     if (!paid)
     {
-        return resend_room::left;
+        return resend_allowance::allowed;
     }
-    auto const left = sent(it) < m_budget.settings().most_attempts &&
-                      m_budget.has(it.original.contract);
-    return left ? resend_room::left : resend_room::none;
+    auto const left = charged_attempts(it) < m_budget.settings().max_attempts &&
+                      m_budget.has_resend(it.original.contract);
+    return left ? resend_allowance::allowed : resend_allowance::exhausted;
 }
 
 } // namespace berylhill::calls
--- a/libraries/calls/call_dispatcher.hpp
+++ b/libraries/calls/call_dispatcher.hpp
@@ -86,7 +86,7 @@
 
     [[nodiscard]] bool knows_service(std::string const& service) const
     {
-        return m_router.knows(service);
+        return m_router.knows_service(service);
     }
 
 private:
@@ -96,65 +96,66 @@
         route to;
         bool open{true};
         /// No work was assigned; the same group may be asked again.
-        bool moved{false};
+        bool uncharged{false};
     };
     struct request
     {
         call original;
         std::string service;
         std::vector<attempt> attempts;
-        ran earlier{ran::not_run};
+        ran earlier_attempts{ran::not_run};
         std::optional<refusal> last_refusal;
-        bool resend_planned{false};
+        bool resend_scheduled{false};
     };
-    enum class plan_kind : std::uint8_t
+    enum class timer_kind : std::uint8_t
     {
-        give_up,
+        deadline,
         resend,
         hedge,
     };
-    struct plan
+    struct timer
     {
         base::instant at;
         std::string request_id;
-        plan_kind kind;
-        wanted_room room;
-        bool paid{true};
+        timer_kind kind;
+        required_capacity capacity;
+        bool charged{true};
 
-        bool operator>(plan const& it) const noexcept
+        bool operator>(timer const& it) const noexcept
         {
             return at > it.at;
         }
     };
 
     void send(request& it,
-              wanted_room room,
+              required_capacity room,
               bool paid,
               base::instant now,
               dispatch_actions& out);
-    void plan_hedge(request const& it, route const& to, base::instant now);
-    void run_plan(plan const& it, base::instant now, dispatch_actions& out);
+    void schedule_hedge(request const& it, route const& to, base::instant now);
+    void run_timer(timer const& it, base::instant now, dispatch_actions& out);
     void hedge(request& it, base::instant now, dispatch_actions& out);
     /// Returns false if no group has the required capacity.
     [[nodiscard]] bool
-    resend_later(request& it, attempt_end end, base::instant now);
-    [[nodiscard]] static std::vector<std::string> tried(request const& it);
+    schedule_resend(request& it, attempt_end end, base::instant now);
+    [[nodiscard]] static std::vector<std::string>
+    tried_groups(request const& it);
     /// Number of attempts that an owner accepted, or refused for lack of
     /// capacity.
-    [[nodiscard]] static std::int32_t sent(request const& it);
+    [[nodiscard]] static std::int32_t charged_attempts(request const& it);
     void finish(std::string const& request_id,
                 std::string const& answered,
                 dispatch_actions& out);
     void refuse(request const& it, ran work, dispatch_actions& out);
-    [[nodiscard]] resend_room
-    room_for(request const& it, bool paid, base::instant now) const;
+    [[nodiscard]] resend_allowance
+    allowance_for(request const& it, bool paid, base::instant now) const;
 
     router m_router;
     retry_budget m_budget;
     std::unordered_map<std::string, request> m_requests;
     /// Request ids, keyed by attempt id.
     std::unordered_map<std::string, std::string> m_attempts;
-    std::priority_queue<plan, std::vector<plan>, std::greater<>> m_plans;
+    std::priority_queue<timer, std::vector<timer>, std::greater<>> m_timers;
 };
 
 } // namespace berylhill::calls
--- a/libraries/calls/call_queue.cpp
+++ b/libraries/calls/call_queue.cpp
@@ -9,73 +9,73 @@
 void call_queue::push(call it)
 {
     assert(it.weight > 0);
-    auto const [found, added] = m_lanes.try_emplace(it.contract);
-    auto& lane = found->second;
+    auto const [found, added] = m_contracts.try_emplace(it.contract);
+    auto& queue = found->second;
     if (added)
     {
-        lane.weight = it.weight;
+        queue.weight = it.weight;
         // A contract that returns to the queue starts level with the others:
         // turns that it did not use while it had no calls are not credited. The
         // turns it used shortly before do count; otherwise a contract with one
         // call at a time would always be served first and contracts with many
         // waiting calls would starve.
-        auto const left = m_left.find(it.contract);
-        lane.start = left == m_left.end()
-                         ? m_virtual_time
-                         : std::max(m_virtual_time, left->second);
-        m_weights += lane.weight;
-        m_turns.emplace(lane.start, it.contract);
+        auto const left = m_idle_starts.find(it.contract);
+        queue.start = left == m_idle_starts.end()
+                          ? m_virtual_time
+                          : std::max(m_virtual_time, left->second);
+        m_total_weight += queue.weight;
+        m_order.emplace(queue.start, it.contract);
     }
     m_deadlines.insert(it.deadline);
     ++m_size;
     auto& calls =
-        it.urgent == model::urgency::urgent ? lane.urgent : lane.normal;
+        it.urgency == model::urgency::urgent ? queue.urgent : queue.normal;
     calls.push_back(std::move(it));
 }
 
 std::optional<call> call_queue::pop()
 {
-    if (m_turns.empty())
+    if (m_order.empty())
     {
         return std::nullopt;
     }
-    auto turn = m_turns.extract(m_turns.begin());
-    auto& lane = m_lanes.at(turn.value().second);
-    auto& calls = lane.urgent.empty() ? lane.normal : lane.urgent;
+    auto turn = m_order.extract(m_order.begin());
+    auto& queue = m_contracts.at(turn.value().second);
+    auto& calls = queue.urgent.empty() ? queue.normal : queue.urgent;
     auto it = std::move(calls.front());
     calls.pop_front();
-    m_virtual_time = std::max(m_virtual_time, lane.start);
-    lane.start += 1 / lane.weight;
-    turn.value().first = lane.start;
-    m_turns.insert(std::move(turn));
-    return taken(std::move(it));
+    m_virtual_time = std::max(m_virtual_time, queue.start);
+    queue.start += 1 / queue.weight;
+    turn.value().first = queue.start;
+    m_order.insert(std::move(turn));
+    return account_removal(std::move(it));
 }
 
 std::optional<call> call_queue::shed()
 {
     auto const most = std::max_element(
-        m_lanes.begin(), m_lanes.end(),
+        m_contracts.begin(), m_contracts.end(),
         [](auto const& a, auto const& b)
         {
             return static_cast<double>(a.second.size()) / a.second.weight <
                    static_cast<double>(b.second.size()) / b.second.weight;
         });
-    if (most == m_lanes.end())
+    if (most == m_contracts.end())
     {
         return std::nullopt;
     }
-    auto& lane = most->second;
-    auto& calls = lane.normal.empty() ? lane.urgent : lane.normal;
+    auto& queue = most->second;
+    auto& calls = queue.normal.empty() ? queue.urgent : queue.normal;
     auto it = std::move(calls.back());
     calls.pop_back();
-    return taken(std::move(it));
+    return account_removal(std::move(it));
 }
 
 std::optional<call> call_queue::remove(std::string const& request_id)
 {
-    for (auto& [name, lane] : m_lanes)
+    for (auto& [name, queue] : m_contracts)
     {
-        for (auto* calls : {&lane.urgent, &lane.normal})
+        for (auto* calls : {&queue.urgent, &queue.normal})
         {
             auto const found = std::find_if(
                 calls->begin(), calls->end(),
@@ -84,21 +84,21 @@
             {
                 auto it = std::move(*found);
                 calls->erase(found);
-                return taken(std::move(it));
+                return account_removal(std::move(it));
             }
         }
     }
     return std::nullopt;
 }
 
-std::vector<call> call_queue::take_due(base::instant least)
+std::vector<call> call_queue::take_expiring(base::instant least)
 {
     std::vector<call> due;
     if (m_deadlines.empty() || *m_deadlines.begin() >= least)
     {
         return due;
     }
-    for (auto& it : m_lanes)
+    for (auto& it : m_contracts)
     {
         for (auto* calls : {&it.second.urgent, &it.second.normal})
         {
@@ -111,24 +111,24 @@
     }
     for (auto& it : due)
     {
-        it = taken(std::move(it));
+        it = account_removal(std::move(it));
     }
     return due;
 }
 
-double call_queue::turns_before(call const& it) const
+double call_queue::calls_before(call const& it) const
 {
     auto const all = static_cast<double>(m_size);
-    auto const found = m_lanes.find(it.contract);
-    if (found == m_lanes.end())
+    auto const found = m_contracts.find(it.contract);
+    if (found == m_contracts.end())
     {
-        return std::min(all, (m_weights + it.weight) / it.weight - 1);
+        return std::min(all, (m_total_weight + it.weight) / it.weight - 1);
     }
-    auto const& lane = found->second;
-    auto const own =
-        it.urgent == model::urgency::urgent ? lane.urgent.size() : lane.size();
+    auto const& queue = found->second;
+    auto const own = it.urgency == model::urgency::urgent ? queue.urgent.size()
+                                                          : queue.size();
     auto const turns =
-        static_cast<double>(own + 1) * m_weights / lane.weight - 1;
+        static_cast<double>(own + 1) * m_total_weight / queue.weight - 1;
     return std::min(all, turns);
 }
 
@@ -143,27 +143,27 @@
 
 void call_queue::forget_if_empty(std::string const& contract)
 {
-    auto const found = m_lanes.find(contract);
-    if (found == m_lanes.end() || found->second.size() > 0)
+    auto const found = m_contracts.find(contract);
+    if (found == m_contracts.end() || found->second.size() > 0)
     {
         return;
     }
-    m_turns.erase({found->second.start, contract});
-    m_weights -= found->second.weight;
-    m_left[contract] = found->second.start;
-    m_lanes.erase(found);
-    if (m_lanes.empty())
+    m_order.erase({found->second.start, contract});
+    m_total_weight -= found->second.weight;
+    m_idle_starts[contract] = found->second.start;
+    m_contracts.erase(found);
+    if (m_contracts.empty())
     {
-        m_left.clear();
+        m_idle_starts.clear();
         m_virtual_time = 0;
-        m_weights = 0;
+        m_total_weight = 0;
         return;
     }
-    std::erase_if(m_left,
+    std::erase_if(m_idle_starts,
                   [&](auto const& it) { return it.second <= m_virtual_time; });
 }
 
-call call_queue::taken(call it)
+call call_queue::account_removal(call it)
 {
     m_deadlines.erase(m_deadlines.find(it.deadline));
     --m_size;
--- a/libraries/calls/call_queue.hpp
+++ b/libraries/calls/call_queue.hpp
@@ -38,11 +38,11 @@
     [[nodiscard]] std::optional<call> remove(std::string const& request_id);
 
     /// Removes and returns all calls with a deadline before `least`.
-    [[nodiscard]] std::vector<call> take_due(base::instant least);
+    [[nodiscard]] std::vector<call> take_expiring(base::instant least);
 
     /// Estimates how many queued calls would be served before a further call of
     /// this contract, given the calls queued now.
-    [[nodiscard]] double turns_before(call const& it) const;
+    [[nodiscard]] double calls_before(call const& it) const;
 
     /// The earliest deadline of the queued calls.
     [[nodiscard]] std::optional<base::instant> earliest_deadline() const;
@@ -58,7 +58,7 @@
     }
 
 private:
-    struct contract_lane
+    struct contract_queue
     {
         double weight{1};
         /// Virtual start time of the contract's next call.
@@ -73,19 +73,19 @@
     };
 
     void forget_if_empty(std::string const& contract);
-    [[nodiscard]] call taken(call it);
+    [[nodiscard]] call account_removal(call it);
 
     /// Contracts with queued calls only, so that memory use follows the number
     /// of queued calls.
-    std::map<std::string, contract_lane> m_lanes;
+    std::map<std::string, contract_queue> m_contracts;
     /// Virtual start times of contracts without queued calls, kept until the
     /// virtual time has passed them.
-    std::map<std::string, double> m_left;
+    std::map<std::string, double> m_idle_starts;
     /// Contracts ordered by the virtual start time of their next call.
-    std::set<std::pair<double, std::string>> m_turns;
+    std::set<std::pair<double, std::string>> m_order;
     std::multiset<base::instant> m_deadlines;
     double m_virtual_time{0};
-    double m_weights{0};
+    double m_total_weight{0};
     std::size_t m_size{0};
 };
 
--- a/libraries/calls/contract_gate.cpp
+++ b/libraries/calls/contract_limiter.cpp
@@ -1,4 +1,4 @@
-#include <calls/contract_gate.hpp>
+#include <calls/contract_limiter.hpp>
 
 #include <algorithm>
 #include <cassert>
@@ -22,7 +22,7 @@
 /// a change of the shares too late.
 constexpr double s_longest_retry_s = 30;
 
-limit_part least_of(limit_part const& a, limit_part const& b)
+limit_share least_of(limit_share const& a, limit_share const& b)
 {
     return {std::min(a.calls_per_s, b.calls_per_s), std::min(a.burst, b.burst),
             std::min(a.at_once, b.at_once)};
@@ -30,53 +30,53 @@
 
 } // namespace
 
-contract_gate::contract_gate(model::contract limits, base::instant now)
+contract_limiter::contract_limiter(model::contract limits, base::instant now)
     : m_limits{std::move(limits)}
-    , m_refilled{now}
-    , m_reported{now}
+    , m_refilled_at{now}
+    , m_reported_at{now}
 {
     m_demand.contract = m_limits.name;
 }
 
-void contract_gate::set_limits(model::contract const& limits)
+void contract_limiter::set_limits(model::contract const& limits)
 {
     m_limits = limits;
-    m_part = least_of(m_part, {limits.calls_per_s,
-                               static_cast<double>(limits.call_burst),
-                               static_cast<double>(limits.calls_at_once)});
-    m_tokens = std::min(m_tokens, m_part.burst);
+    m_share = least_of(m_share, {limits.calls_per_s,
+                                 static_cast<double>(limits.call_burst),
+                                 static_cast<double>(limits.calls_at_once)});
+    m_tokens = std::min(m_tokens, m_share.burst);
 }
 
-void contract_gate::set_part(limit_part const& part,
-                             base::instant now,
-                             base::duration settle)
+void contract_limiter::set_share(limit_share const& part,
+                                 base::instant now,
+                                 base::duration settle)
 {
     refill(now);
     // A process that was suspended for a while resumes with its old share,
     // which its peers may have reassigned meanwhile. It restarts from zero and
     // has received their demand when the settling time is over.
-    if (!m_parts.empty() && now - m_parts.back().first > settle)
+    if (!m_shares.empty() && now - m_shares.back().first > settle)
     {
-        m_parts.emplace_back(now, limit_part{});
+        m_shares.emplace_back(now, limit_share{});
     }
-    m_parts.emplace_back(now, part);
+    m_shares.emplace_back(now, part);
     m_valid_until = now + settle;
     // Keep one share older than the settling time: it was in force at the start
     // of the window.
-    while (m_parts.size() > 1 && m_parts[1].first <= now - settle)
+    while (m_shares.size() > 1 && m_shares[1].first <= now - settle)
     {
-        m_parts.pop_front();
+        m_shares.pop_front();
     }
-    m_part = part;
-    for (auto const& it : m_parts)
+    m_share = part;
+    for (auto const& it : m_shares)
     {
-        m_part = least_of(m_part, it.second);
+        m_share = least_of(m_share, it.second);
     }
-    m_tokens = std::min(m_tokens, m_part.burst);
+    m_tokens = std::min(m_tokens, m_share.burst);
 }
 
-std::optional<refusal> contract_gate::admit(base::instant now,
-                                            generator& random)
+std::optional<refusal> contract_limiter::admit(base::instant now,
+                                               generator& random)
 {
     refill(now);
     ++m_offered;
@@ -84,17 +84,17 @@
     {
         return refuse_as_exhausted(random);
     }
-    if (static_cast<double>(m_in_flight) + 1 > m_part.at_once)
+    if (static_cast<double>(m_in_flight) + 1 > m_share.at_once)
     {
         ++m_refused;
         ++m_refused_at_once;
-        return refuse(refusal_code::too_many_at_once, m_part.at_once / m_took_s,
-                      random);
+        return refuse(refusal_code::too_many_at_once,
+                      m_share.at_once / m_call_time_s, random);
     }
     if (m_tokens < 1)
     {
         ++m_refused;
-        return refuse(refusal_code::rate_limited, m_part.calls_per_s, random);
+        return refuse(refusal_code::rate_limited, m_share.calls_per_s, random);
     }
     m_tokens -= 1;
     ++m_in_flight;
@@ -102,32 +102,32 @@
     return std::nullopt;
 }
 
-void contract_gate::finish(base::duration took,
-                           std::int32_t resends,
-                           base::instant now)
+void contract_limiter::finish(base::duration took,
+                              std::int32_t resends,
+                              base::instant now)
 {
     assert(m_in_flight > 0);
     refill(now);
     --m_in_flight;
     m_tokens -= resends;
-    m_took_s += s_newest * (base::seconds_of(took) - m_took_s);
+    m_call_time_s += s_newest * (base::seconds_of(took) - m_call_time_s);
 }
 
-void contract_gate::drop()
+void contract_limiter::drop()
 {
     assert(m_in_flight > 0);
     --m_in_flight;
 }
 
-refusal contract_gate::refuse_as_exhausted(generator& random)
+refusal contract_limiter::refuse_as_exhausted(generator& random)
 {
     ++m_refused;
     return refuse(refusal_code::rate_limited, m_limits.calls_per_s, random);
 }
 
-contract_demand contract_gate::report(base::instant now)
+contract_demand contract_limiter::report(base::instant now)
 {
-    auto const span = base::seconds_of(now - m_reported);
+    auto const span = base::seconds_of(now - m_reported_at);
     if (span <= 0)
     {
         return m_demand;
@@ -143,7 +143,7 @@
         m_demand.calls_per_s = 0;
         m_demand.at_once = 0;
     }
-    m_reported = now;
+    m_reported_at = now;
     m_offered = 0;
     m_refused *= s_fade;
     m_refused_at_once = 0;
@@ -151,19 +151,20 @@
     return m_demand;
 }
 
-void contract_gate::refill(base::instant now)
+void contract_limiter::refill(base::instant now)
 {
-    auto const span = base::seconds_of(now - m_refilled);
+    auto const span = base::seconds_of(now - m_refilled_at);
     if (span > 0)
     {
-        m_tokens = std::min(m_tokens + span * m_part.calls_per_s, m_part.burst);
-        m_refilled = now;
+        m_tokens =
+            std::min(m_tokens + span * m_share.calls_per_s, m_share.burst);
+        m_refilled_at = now;
     }
 }
 
-refusal contract_gate::refuse(refusal_code code,
-                              double freed_per_s,
-                              generator& random) const
+refusal contract_limiter::refuse(refusal_code code,
+                                 double freed_per_s,
+                                 generator& random) const
 {
     // Clients refused earlier will retry before this one. If all were given the
     // same time, they would retry simultaneously and be refused again.
--- a/libraries/calls/contract_gate.hpp
+++ b/libraries/calls/contract_limiter.hpp
@@ -15,22 +15,22 @@
 {
 
 /// The share of a contract's limits that one entry may use.
-struct limit_part
+struct limit_share
 {
     double calls_per_s{0};
     double burst{0};
     double at_once{0};
 
-    friend bool operator==(limit_part const&, limit_part const&) = default;
+    friend bool operator==(limit_share const&, limit_share const&) = default;
 };
 
 /// Admits the calls of one contract at one entry: a token bucket and a
 /// concurrency limit, both for this entry's share of the contract's limits. Not
 /// thread-safe.
-class contract_gate
+class contract_limiter
 {
 public:
-    contract_gate(model::contract limits, base::instant now);
+    contract_limiter(model::contract limits, base::instant now);
 
     void set_limits(model::contract const& limits);
 
@@ -39,8 +39,9 @@
     /// computed within the last `settle` was as large, because until then
     /// another entry may still use it. Call every gossip round: a share that
     /// has not been set for `settle` admits nothing.
-    void
-    set_part(limit_part const& part, base::instant now, base::duration settle);
+    void set_share(limit_share const& part,
+                   base::instant now,
+                   base::duration settle);
 
     /// Admits a call or returns the reason for refusing it. An admitted call
     /// must be ended with `finish` or `drop`.
@@ -68,9 +69,9 @@
         return m_limits;
     }
 
-    [[nodiscard]] limit_part const& part() const noexcept
+    [[nodiscard]] limit_share const& share() const noexcept
     {
-        return m_part;
+        return m_share;
     }
 
     [[nodiscard]] std::int64_t in_flight() const noexcept
@@ -84,11 +85,11 @@
     refuse(refusal_code code, double freed_per_s, generator& random) const;
 
     model::contract m_limits;
-    limit_part m_part;
+    limit_share m_share;
     /// Shares computed within the settling time, oldest first.
-    std::deque<std::pair<base::instant, limit_part>> m_parts;
+    std::deque<std::pair<base::instant, limit_share>> m_shares;
     double m_tokens{0};
-    base::instant m_refilled;
+    base::instant m_refilled_at;
     /// The share is valid until this time unless it is set again.
     base::instant m_valid_until;
     std::int64_t m_in_flight{0};
@@ -97,10 +98,10 @@
     /// Recent refusals, decaying over about a second.
     double m_refused{0};
     std::int64_t m_refused_at_once{0};
-    base::instant m_reported;
+    base::instant m_reported_at;
     contract_demand m_demand;
     /// Smoothed duration of finished calls, in seconds.
-    double m_took_s{0.1};
+    double m_call_time_s{0.1};
 };
 
 } // namespace berylhill::calls
--- a/libraries/calls/limit_share.cpp
+++ b/libraries/calls/divide_limit.cpp
@@ -1,4 +1,4 @@
-#include <calls/limit_share.hpp>
+#include <calls/divide_limit.hpp>
 
 #include <algorithm>
 #include <cmath>
--- a/libraries/calls/ejection_rules.cpp
+++ b/libraries/calls/ejection_rules.cpp
@@ -29,67 +29,70 @@
 
 } // namespace
 
-peer_figures
-ejection_rules::figures_of(std::vector<minion_health const*> const& peers)
+peer_statistics
+ejection_rules::statistics_of(std::vector<minion_health const*> const& peers)
 {
     std::vector<base::duration> runs;
     std::vector<double> failing;
     base::instant last_good;
     for (auto const* it : peers)
     {
-        last_good = std::max(last_good, it->last_good());
-        if (it->state() != health_state::in || !it->known())
+        last_good = std::max(last_good, it->last_success());
+        if (it->state() != health_state::active || !it->has_enough_calls())
         {
             continue;
         }
-        failing.push_back(it->failing());
-        if (it->run().count() > 0)
+        failing.push_back(it->failure_rate());
+        if (it->run_time().count() > 0)
         {
-            runs.push_back(it->run());
+            runs.push_back(it->run_time());
         }
     }
     return {failing.size(), median_of(runs), median_of(failing), last_good};
 }
 
 bool ejection_rules::is_outlier(minion_health const& it,
-                                peer_figures const& peers,
-                                slow_help help) const
+                                peer_statistics const& peers,
+                                slow_minion_use help) const
 {
-    if (it.state() != health_state::in || !it.known() || peers.peers == 0)
+    if (it.state() != health_state::active || !it.has_enough_calls() ||
+        peers.judged_peers == 0)
     {
         return false;
     }
-    if (it.failing() >= m_settings.failing_part &&
-        it.failing() >= s_clearly_more * peers.failing)
+    if (it.failure_rate() >= m_settings.failure_threshold &&
+        it.failure_rate() >= s_clearly_more * peers.failure_rate)
     {
         return true;
     }
-    if (peers.run.count() == 0 || help == slow_help::in_time)
+    if (peers.run_time.count() == 0 || help == slow_minion_use::in_time)
     {
         return false;
     }
-    return base::seconds_of(it.run()) >
-           m_settings.slow_factor * base::seconds_of(peers.run);
+    return base::seconds_of(it.run_time()) >
+           m_settings.slow_factor * base::seconds_of(peers.run_time);
 }
 
-base::duration ejection_rules::silence(peer_figures const& peers) const
+base::duration
+ejection_rules::silence_threshold(peer_statistics const& peers) const
 {
-    auto const long_run = base::from_seconds(m_settings.silent_factor *
-                                             base::seconds_of(peers.run));
-    return std::max(long_run, m_settings.least_silence);
+    auto const long_run = base::from_seconds(m_settings.unresponsive_factor *
+                                             base::seconds_of(peers.run_time));
+    return std::max(long_run, m_settings.min_silence);
 }
 
-bool ejection_rules::is_silent(minion_health const& it,
-                               peer_figures const& peers,
-                               base::instant now) const
+bool ejection_rules::is_unresponsive(minion_health const& it,
+                                     peer_statistics const& peers,
+                                     base::instant now) const
 {
-    auto const since = now - silence(peers);
-    return it.last_good() < since && peers.last_good >= since;
+    auto const since = now - silence_threshold(peers);
+    return it.last_success() < since && peers.last_success >= since;
 }
 
 bool ejection_rules::may_eject(std::size_t all, std::size_t out) const
 {
-    auto const most = m_settings.most_ejected * static_cast<double>(all);
+    auto const most =
+        m_settings.max_ejected_fraction * static_cast<double>(all);
     return out + 1 < all && static_cast<double>(out + 1) <= most;
 }
 
--- a/libraries/calls/idempotency_table.cpp
+++ b/libraries/calls/idempotency_table.cpp
@@ -13,13 +13,13 @@
 
 idempotency_table::idempotency_table(base::duration retention, std::size_t most)
     : m_retention{retention}
-    , m_most{most}
+    , m_max_keys{most}
 {
 }
 
 bool idempotency_table::apply(call_intent const& it, base::instant now)
 {
-    auto const key = flat(it.key);
+    auto const key = flat_key(it.key);
     auto const [found, added] = m_entries.try_emplace(key);
     auto& known = found->second;
     auto const again = !added && known.intent.request_id == it.request_id;
@@ -36,7 +36,7 @@
     known.outcome.reset();
     // The intent of a process that was declared lost may be read late; its
     // outcome will never be written.
-    known.unknown = m_gone.contains(it.incarnation);
+    known.outcome_unknown = m_lost_writers.contains(it.incarnation);
     m_open[it.incarnation].insert(key);
     touch_entry(key, known, now);
     return true;
@@ -44,7 +44,7 @@
 
 void idempotency_table::apply(call_result const& it, base::instant now)
 {
-    auto const key = flat(it.key);
+    auto const key = flat_key(it.key);
     auto const found = m_entries.find(key);
     if (found == m_entries.end() ||
         found->second.intent.request_id != it.request_id ||
@@ -54,7 +54,7 @@
     }
     found->second.outcome = it.outcome;
     // A result that was in flight when its writer was lost is valid.
-    found->second.unknown = false;
+    found->second.outcome_unknown = false;
     auto const open = m_open.find(found->second.intent.incarnation);
     if (open != m_open.end())
     {
@@ -70,7 +70,7 @@
 void idempotency_table::mark_writer_lost(std::string const& incarnation,
                                          base::instant now)
 {
-    m_gone.emplace(incarnation, now);
+    m_lost_writers.emplace(incarnation, now);
     auto const open = m_open.find(incarnation);
     if (open == m_open.end())
     {
@@ -81,7 +81,7 @@
         auto const found = m_entries.find(key);
         if (found != m_entries.end())
         {
-            found->second.unknown = true;
+            found->second.outcome_unknown = true;
             touch_entry(key, found->second, now);
         }
     }
@@ -91,7 +91,7 @@
 key_state idempotency_table::state_of(idempotency_key const& key,
                                       std::uint64_t fingerprint) const
 {
-    auto const found = m_entries.find(flat(key));
+    auto const found = m_entries.find(flat_key(key));
     if (found == m_entries.end())
     {
         return key_state::unused;
@@ -101,7 +101,7 @@
     {
         return key_state::conflict;
     }
-    if (known.unknown)
+    if (known.outcome_unknown)
     {
         return key_state::outcome_unknown;
     }
@@ -121,7 +121,7 @@
 std::optional<call_outcome>
 idempotency_table::outcome_of(idempotency_key const& key) const
 {
-    auto const found = m_entries.find(flat(key));
+    auto const found = m_entries.find(flat_key(key));
     return found == m_entries.end() ? std::nullopt : found->second.outcome;
 }
 
@@ -152,7 +152,7 @@
     {
         auto const found = m_entries.find(m_touched.front().key);
         if (found != m_entries.end() &&
-            found->second.touched == m_touched.front().at)
+            found->second.touched_at == m_touched.front().at)
         {
             auto const open = m_open.find(found->second.intent.incarnation);
             if (open != m_open.end())
@@ -163,11 +163,11 @@
         }
         m_touched.pop_front();
     }
-    std::erase_if(m_gone, [&](auto const& it)
+    std::erase_if(m_lost_writers, [&](auto const& it)
                   { return it.second + m_retention <= now; });
 }
 
-std::string idempotency_table::flat(idempotency_key const& it)
+std::string idempotency_table::flat_key(idempotency_key const& it)
 {
     // The length prefix keeps the keys of different contracts distinct.
     return std::to_string(it.contract.size()) + ":" + it.contract + it.key;
@@ -177,7 +177,7 @@
                                     entry& it,
                                     base::instant now)
 {
-    it.touched = now;
+    it.touched_at = now;
     m_touched.push_back({now, key});
 }
 
--- a/libraries/calls/idempotency_table.hpp
+++ b/libraries/calls/idempotency_table.hpp
@@ -107,7 +107,7 @@
     /// run: evicting a key early would let its repeat run a second time.
     [[nodiscard]] bool full() const noexcept
     {
-        return m_entries.size() >= m_most;
+        return m_entries.size() >= m_max_keys;
     }
 
     [[nodiscard]] std::size_t size() const noexcept
@@ -120,8 +120,8 @@
     {
         call_intent intent;
         std::optional<call_outcome> outcome;
-        bool unknown{false};
-        base::instant touched;
+        bool outcome_unknown{false};
+        base::instant touched_at;
     };
     struct touch
     {
@@ -129,16 +129,16 @@
         std::string key;
     };
 
-    [[nodiscard]] static std::string flat(idempotency_key const& it);
+    [[nodiscard]] static std::string flat_key(idempotency_key const& it);
     void touch_entry(std::string const& key, entry& it, base::instant now);
 
     base::duration m_retention;
-    std::size_t m_most;
+    std::size_t m_max_keys;
     std::unordered_map<std::string, entry> m_entries;
     /// Open intents, keyed by incarnation.
     std::unordered_map<std::string, std::unordered_set<std::string>> m_open;
     /// Lost incarnations, kept until no record of theirs can arrive.
-    std::unordered_map<std::string, base::instant> m_gone;
+    std::unordered_map<std::string, base::instant> m_lost_writers;
     std::deque<touch> m_touched;
 };
 
--- a/libraries/calls/minion_health.hpp
+++ b/libraries/calls/minion_health.hpp
@@ -11,23 +11,23 @@
 struct health_settings
 {
     /// Number of ended calls before a minion is judged.
-    std::int32_t least_calls{5};
+    std::int32_t min_calls{5};
     /// Failure rate from which a minion is ejected, if it is also at least
     /// twice that of its peers.
-    double failing_part{0.4};
+    double failure_threshold{0.4};
     /// A minion is ejected when it is slower than the median of its peers by
     /// this factor.
     double slow_factor{3};
     /// A call that runs longer than the median of the peers by this factor
     /// counts as slow before it ends, so that a minion that has stopped
     /// answering is noticed before the deadline.
-    double silent_factor{8};
-    base::duration least_silence{std::chrono::milliseconds{100}};
+    double unresponsive_factor{8};
+    base::duration min_silence{std::chrono::milliseconds{100}};
     base::duration first_ejection{std::chrono::seconds{2}};
-    base::duration longest_ejection{std::chrono::seconds{60}};
+    base::duration max_ejection{std::chrono::seconds{60}};
     /// Maximum fraction of a group's minions that is ejected at a time; the
     /// last one is never ejected.
-    double most_ejected{0.5};
+    double max_ejected_fraction{0.5};
     /// Successful answers that a returning minion must give, with one call at a
     /// time.
     std::int32_t trial_calls{3};
@@ -40,7 +40,7 @@
 
 enum class health_state : std::uint8_t
 {
-    in,      ///< Takes calls; after a trial the number of usable slots grows
+    active,  ///< Takes calls; after a trial the number of usable slots grows
              ///< gradually.
     ejected, ///< Takes no calls until the ejection time is over.
     probing, ///< Takes no calls; being checked on a new connection.
@@ -92,52 +92,52 @@
     }
 
     /// Whether enough calls have ended to judge the minion.
-    [[nodiscard]] bool known() const noexcept
+    [[nodiscard]] bool has_enough_calls() const noexcept
     {
-        return m_ended >= m_settings.least_calls;
+        return m_ended_calls >= m_settings.min_calls;
     }
 
     /// Smoothed failure rate.
-    [[nodiscard]] double failing() const noexcept
+    [[nodiscard]] double failure_rate() const noexcept
     {
-        return m_failing;
+        return m_failure_rate;
     }
 
     /// Smoothed running time of its calls; 0 before the first.
-    [[nodiscard]] base::duration run() const noexcept
+    [[nodiscard]] base::duration run_time() const noexcept
     {
-        return m_run;
+        return m_run_time;
     }
 
     /// Time of the last successful answer.
-    [[nodiscard]] base::instant last_good() const noexcept
+    [[nodiscard]] base::instant last_success() const noexcept
     {
-        return m_last_good;
+        return m_last_success;
     }
 
     /// End of the ejection, which is also the time of the next probe.
-    [[nodiscard]] base::instant until() const noexcept
+    [[nodiscard]] base::instant ejected_until() const noexcept
     {
-        return m_until;
+        return m_ejected_until;
     }
 
 private:
-    void learn_run(base::duration run);
+    void update_run_time(base::duration run);
 
     health_settings m_settings;
-    health_state m_state{health_state::in};
-    std::int32_t m_ended{0};
-    double m_failing{0};
-    base::duration m_run{0};
+    health_state m_state{health_state::active};
+    std::int32_t m_ended_calls{0};
+    double m_failure_rate{0};
+    base::duration m_run_time{0};
     std::int32_t m_ejections{0};
-    std::int32_t m_trial_good{0};
-    base::instant m_until;
+    std::int32_t m_trial_successes{0};
+    base::instant m_ejected_until;
     /// When the last trial succeeded; the number of usable slots grows from
     /// then on.
-    base::instant m_returned;
+    base::instant m_returned_at;
     bool m_growing{false};
     base::instant m_last_ejected;
-    base::instant m_last_good;
+    base::instant m_last_success;
 };
 
 } // namespace berylhill::calls
--- a/libraries/calls/minion_pool.cpp
+++ b/libraries/calls/minion_pool.cpp
@@ -30,7 +30,7 @@
     , m_settings{settings}
     , m_random{random}
     , m_ejection{settings.health}
-    , m_run_s{base::seconds_of(settings.first_run)}
+    , m_run_time_s{base::seconds_of(settings.initial_run_time)}
 {
 }
 
@@ -77,28 +77,28 @@
     auto const found = m_minions.find(minion);
     if (found != m_minions.end())
     {
-        found->second.take_unseen(request_id, now, free_at);
-        m_flights.emplace(request_id,
-                          flight{minion, now, base::duration{0}, false});
+        found->second.take_inherited(request_id, now, free_at);
+        m_sent_calls.emplace(request_id,
+                             sent_call{minion, now, base::duration{0}, false});
     }
 }
 
 minion_pool_actions minion_pool::offer(call const& it, base::instant now)
 {
     minion_pool_actions out;
-    if (!first_sight(it))
+    if (!is_first_offer(it))
     {
         return out;
     }
     auto const left = it.deadline - now;
     m_allowed_s +=
         s_newest * (std::max(0.0, base::seconds_of(left)) - m_allowed_s);
-    if (base::seconds_of(left) <= m_fast_run_s)
+    if (base::seconds_of(left) <= m_fast_run_time_s)
     {
         // Refused calls yield no measurement. Without this decay, calls with
         // little time left would be refused permanently once the minions had
         // been slow for a while.
-        m_fast_run_s *= s_doubt;
+        m_fast_run_time_s *= s_doubt;
         refuse(it, refusal_code::deadline_too_short, now, out);
         return out;
     }
@@ -119,8 +119,8 @@
                                           base::instant now)
 {
     minion_pool_actions out;
-    auto const found = m_flights.find(request_id);
-    if (found == m_flights.end() || !found->second.awaited)
+    auto const found = m_sent_calls.find(request_id);
+    if (found == m_sent_calls.end() || !found->second.awaited)
     {
         // A late answer: the caller has already had the final answer.
         out.emplace_back(drop_answer{request_id});
@@ -129,7 +129,7 @@
     {
         out.emplace_back(deliver_answer{request_id});
     }
-    end_flight(request_id, end, now);
+    end_sent_call(request_id, end, now);
     dispatch(now, out);
     return out;
 }
@@ -138,8 +138,8 @@
                                          base::instant now)
 {
     minion_pool_actions out;
-    auto const found = m_flights.find(request_id);
-    if (found == m_flights.end())
+    auto const found = m_sent_calls.find(request_id);
+    if (found == m_sent_calls.end())
     {
         return out;
     }
@@ -151,7 +151,7 @@
              "minion " + found->second.minion + " did not accept the call",
              s_least_retry_s}});
     }
-    end_flight(request_id, call_end::failed, now);
+    end_sent_call(request_id, call_end::failed, now);
     dispatch(now, out);
     return out;
 }
@@ -160,8 +160,8 @@
 minion_pool::connection_closed(std::string const& request_id, base::instant now)
 {
     minion_pool_actions out;
-    auto const found = m_flights.find(request_id);
-    if (found == m_flights.end())
+    auto const found = m_sent_calls.find(request_id);
+    if (found == m_sent_calls.end())
     {
         return out;
     }
@@ -169,12 +169,12 @@
     if (found->second.awaited)
     {
         stop_waiting(request_id, found->second, out);
-        note_timeout(found->second, now);
+        record_timeout(found->second, now);
     }
     if (minion != m_minions.end())
     {
         minion->second.linger(request_id,
-                              found->second.sent_at + m_settings.longest_run);
+                              found->second.sent_at + m_settings.max_run_time);
     }
     dispatch(now, out);
     return out;
@@ -184,8 +184,8 @@
                                        base::instant now)
 {
     minion_pool_actions out;
-    auto const found = m_flights.find(request_id);
-    if (found == m_flights.end())
+    auto const found = m_sent_calls.find(request_id);
+    if (found == m_sent_calls.end())
     {
         return out;
     }
@@ -194,7 +194,7 @@
     {
         minion->second.release(request_id);
     }
-    m_flights.erase(found);
+    m_sent_calls.erase(found);
     erase_removed();
     dispatch(now, out);
     return out;
@@ -209,8 +209,8 @@
         refuse(*waiting, refusal_code::deadline_too_short, now, out);
         return out;
     }
-    auto const found = m_flights.find(request_id);
-    if (found == m_flights.end() || !found->second.awaited)
+    auto const found = m_sent_calls.find(request_id);
+    if (found == m_sent_calls.end() || !found->second.awaited)
     {
         return out;
     }
@@ -256,10 +256,11 @@
         it.busy += std::min(minion.busy(), minion.usable(now));
     }
     it.queued = static_cast<std::int32_t>(m_queue.size());
-    it.run_time = base::from_seconds(m_run_s);
-    it.expected_wait = it.busy < it.slots && m_queue.empty()
-                           ? base::duration{0}
-                           : wait_of(static_cast<double>(m_queue.size()), now);
+    it.run_time = base::from_seconds(m_run_time_s);
+    it.expected_wait =
+        it.busy < it.slots && m_queue.empty()
+            ? base::duration{0}
+            : expected_wait(static_cast<double>(m_queue.size()), now);
     return it;
 }
 
@@ -271,11 +272,11 @@
 
 std::string minion_pool::minion_of(std::string const& request_id) const
 {
-    auto const it = m_flights.find(request_id);
-    return it == m_flights.end() ? std::string{} : it->second.minion;
+    auto const it = m_sent_calls.find(request_id);
+    return it == m_sent_calls.end() ? std::string{} : it->second.minion;
 }
 
-bool minion_pool::first_sight(call const& it)
+bool minion_pool::is_first_offer(call const& it)
 {
     auto const hash = base::hash_of(it.request_id);
     if (!m_seen.insert(hash).second)
@@ -292,15 +293,15 @@
                        minion_pool_actions& out)
 {
     minion.take(it.request_id, now);
-    m_flights.emplace(it.request_id, flight{minion.endpoint().id, now,
-                                            it.deadline - now, true});
+    m_sent_calls.emplace(it.request_id, sent_call{minion.endpoint().id, now,
+                                                  it.deadline - now, true});
     m_deadlines.emplace(it.deadline, it.request_id);
     out.emplace_back(send_to_minion{it.request_id, minion.endpoint().id,
-                                    m_settings.longest_run});
+                                    m_settings.max_run_time});
 }
 
 void minion_pool::stop_waiting(std::string const& request_id,
-                               flight& it,
+                               sent_call& it,
                                minion_pool_actions& out)
 {
     it.awaited = false;
@@ -315,32 +316,32 @@
          "no complete answer arrived from minion " + it.minion, 0}});
 }
 
-void minion_pool::note_timeout(flight const& it, base::instant now)
+void minion_pool::record_timeout(sent_call const& it, base::instant now)
 {
     // A call with little time left when it was sent is late on any minion. If
     // such calls were counted, good minions would be ejected exactly when calls
     // are waiting.
-    auto const fair = m_settings.health.slow_factor * m_run_s;
+    auto const fair = m_settings.health.slow_factor * m_run_time_s;
     auto const minion = m_minions.find(it.minion);
-    if (minion != m_minions.end() && base::seconds_of(it.allowed) >= fair)
+    if (minion != m_minions.end() && base::seconds_of(it.time_left) >= fair)
     {
         minion->second.health().ended(call_end::timed_out, now - it.sent_at,
                                       now);
-        judge(minion->second, now);
+        eject_outlier(minion->second, now);
     }
 }
 
-void minion_pool::end_flight(std::string const& request_id,
-                             call_end end,
-                             base::instant now)
+void minion_pool::end_sent_call(std::string const& request_id,
+                                call_end end,
+                                base::instant now)
 {
-    auto const found = m_flights.find(request_id);
-    if (found == m_flights.end())
+    auto const found = m_sent_calls.find(request_id);
+    if (found == m_sent_calls.end())
     {
         return;
     }
     auto const it = found->second;
-    m_flights.erase(found);
+    m_sent_calls.erase(found);
     auto const minion = m_minions.find(it.minion);
     if (minion == m_minions.end())
     {
@@ -360,11 +361,11 @@
     // Late answers count too. Without them the running time is that of fast
     // calls only, the queue is allowed to grow accordingly, and even more
     // answers are late.
-    if (end == call_end::succeeded && health.state() == health_state::in)
+    if (end == call_end::succeeded && health.state() == health_state::active)
     {
-        learn_run(run);
+        update_run_time(run);
     }
-    judge(minion->second, now);
+    eject_outlier(minion->second, now);
     erase_removed();
 }
 
--- a/libraries/calls/minion_pool.hpp
+++ b/libraries/calls/minion_pool.hpp
@@ -30,15 +30,15 @@
     /// Calls are refused rather than queued for longer than this many running
     /// times of a call. A queue of one or two running times evens out random
     /// variation and keeps every slot busy; a longer one only delays answers.
-    double longest_wait_runs{2};
+    double max_wait_runs{2};
     /// Absolute limit on the time in the queue.
-    base::duration longest_wait{std::chrono::milliseconds{500}};
-    std::int32_t most_queued{1'024};
+    base::duration max_wait{std::chrono::milliseconds{500}};
+    std::int32_t max_queued{1'024};
     /// Maximum time that a minion may take for a call, from the send on. Until
     /// then, or until its answer, the slot counts as taken.
-    base::duration longest_run{std::chrono::seconds{30}};
+    base::duration max_run_time{std::chrono::seconds{30}};
     /// Assumed running time of a call before the first one has ended.
-    base::duration first_run{std::chrono::milliseconds{20}};
+    base::duration initial_run_time{std::chrono::milliseconds{20}};
     health_settings health;
 
     friend bool operator==(minion_pool_settings const&,
@@ -123,7 +123,7 @@
     /// Number of calls sent to minions, awaited or not.
     [[nodiscard]] std::size_t in_flight() const noexcept
     {
-        return m_flights.size();
+        return m_sent_calls.size();
     }
 
     [[nodiscard]] std::size_t queued() const noexcept
@@ -138,22 +138,22 @@
     [[nodiscard]] std::string minion_of(std::string const& request_id) const;
 
 private:
-    struct flight
+    struct sent_call
     {
         std::string minion;
         base::instant sent_at;
         /// Time from the send to the call's deadline.
-        base::duration allowed{0};
+        base::duration time_left{0};
         bool awaited{true};
     };
     using deadline_of = std::pair<base::instant, std::string>;
     using seen_until = std::pair<base::instant, std::uint64_t>;
 
-    [[nodiscard]] bool first_sight(call const& it);
+    [[nodiscard]] bool is_first_offer(call const& it);
     void forget_seen(base::instant now);
-    void give_up_late(base::instant now, minion_pool_actions& out);
+    void give_up_expired(base::instant now, minion_pool_actions& out);
     void stop_waiting(std::string const& request_id,
-                      flight& it,
+                      sent_call& it,
                       minion_pool_actions& out);
     void dispatch(base::instant now, minion_pool_actions& out);
     void send(call const& it,
@@ -167,17 +167,20 @@
                 refusal_code code,
                 base::instant now,
                 minion_pool_actions& out);
-    void
-    end_flight(std::string const& request_id, call_end end, base::instant now);
-    void note_timeout(flight const& it, base::instant now);
-    void learn_run(base::duration run);
-    void judge(minion_slots& minion, base::instant now);
-    void judge_silent(base::instant now);
+    void end_sent_call(std::string const& request_id,
+                       call_end end,
+                       base::instant now);
+    void record_timeout(sent_call const& it, base::instant now);
+    void update_run_time(base::duration run);
+    void eject_outlier(minion_slots& minion, base::instant now);
+    void eject_unresponsive(base::instant now);
     void erase_removed();
     [[nodiscard]] bool may_eject() const;
-    [[nodiscard]] peer_figures peers_of(minion_slots const& except) const;
+    [[nodiscard]] peer_statistics
+    peer_statistics_of(minion_slots const& except) const;
     [[nodiscard]] std::int32_t usable_slots(base::instant now) const;
-    [[nodiscard]] base::duration wait_of(double turns, base::instant now) const;
+    [[nodiscard]] base::duration expected_wait(double turns,
+                                               base::instant now) const;
 
     std::string m_group;
     std::string m_service;
@@ -186,7 +189,7 @@
     /// Ordered, so that equal inputs give equal decisions on every platform.
     std::map<std::string, minion_slots> m_minions;
     call_queue m_queue;
-    std::unordered_map<std::string, flight> m_flights;
+    std::unordered_map<std::string, sent_call> m_sent_calls;
     /// Deadlines of sent calls, including some that have ended since.
     std::priority_queue<deadline_of, std::vector<deadline_of>, std::greater<>>
         m_deadlines;
@@ -198,8 +201,8 @@
     std::set<std::string> m_removed;
     /// Smoothed running time of successful calls, and that of the fastest
     /// tenth.
-    double m_run_s;
-    double m_fast_run_s{0};
+    double m_run_time_s;
+    double m_fast_run_time_s{0};
     /// Smoothed time that callers allow.
     double m_allowed_s{1};
     /// Recent refusals for lack of capacity, decayed by `expire`, for a
--- a/libraries/calls/minion_pool_choice.cpp
+++ b/libraries/calls/minion_pool_choice.cpp
@@ -37,7 +37,7 @@
         auto const it = m_queue.pop();
         // While other calls wait, the slot goes to a call that will be answered
         // in time.
-        auto const least = m_queue.empty() ? m_fast_run_s : m_run_s;
+        auto const least = m_queue.empty() ? m_fast_run_time_s : m_run_time_s;
         if (base::seconds_of(it->deadline - now) <= least)
         {
             refuse(*it, refusal_code::deadline_too_short, now, out);
@@ -56,8 +56,8 @@
         refuse(it, refusal_code::no_minion, now, out);
         return;
     }
-    auto const wait = wait_of(m_queue.turns_before(it), now);
-    auto const run = base::from_seconds(s_margin_runs * m_run_s);
+    auto const wait = expected_wait(m_queue.calls_before(it), now);
+    auto const run = base::from_seconds(s_margin_runs * m_run_time_s);
     if (now + wait + run > it.deadline)
     {
         refuse(it, refusal_code::deadline_too_short, now, out);
@@ -65,11 +65,11 @@
     }
     m_queue.push(it);
     out.emplace_back(call_queued{it.request_id, wait});
-    auto const most = static_cast<std::size_t>(m_settings.most_queued);
-    auto const whole = wait_of(static_cast<double>(m_queue.size()), now);
+    auto const most = static_cast<std::size_t>(m_settings.max_queued);
+    auto const whole = expected_wait(static_cast<double>(m_queue.size()), now);
     auto const longest =
-        std::min(m_settings.longest_wait,
-                 base::from_seconds(m_settings.longest_wait_runs * m_run_s));
+        std::min(m_settings.max_wait,
+                 base::from_seconds(m_settings.max_wait_runs * m_run_time_s));
     if (m_queue.size() > most || whole > longest)
     {
         auto const victim = m_queue.shed();
@@ -95,7 +95,7 @@
         // A minion slower than the time left is ranked last, but not excluded:
         // if all were that slow, none would get calls any more, and it would
         // not be noticed when they become fast again.
-        load += minion.health().run() > left ? 1 : 0;
+        load += minion.health().run_time() > left ? 1 : 0;
         if (best == nullptr || load < least)
         {
             best = &minion;
@@ -115,7 +115,7 @@
     // the time that it takes to serve them keeps them from finding the group
     // full again all together.
     auto const ahead = m_refused + static_cast<double>(m_queue.size());
-    auto const spread = std::clamp(base::seconds_of(wait_of(ahead, now)),
+    auto const spread = std::clamp(base::seconds_of(expected_wait(ahead, now)),
                                    s_least_retry_s, s_longest_retry_s);
     out.emplace_back(refuse_call{
         it.request_id,
@@ -123,45 +123,47 @@
          uniform(m_random, spread / 2, spread * 1.5)}});
 }
 
-void minion_pool::learn_run(base::duration run)
+void minion_pool::update_run_time(base::duration run)
 {
     auto const seconds = base::seconds_of(run);
-    m_run_s += s_newest * (seconds - m_run_s);
+    m_run_time_s += s_newest * (seconds - m_run_time_s);
     // A quantile estimate: the steps up and down balance where a tenth of the
     // answers is faster.
-    auto const step = s_newest * m_run_s;
-    m_fast_run_s +=
-        seconds < m_fast_run_s ? -step * (1 - s_fast_part) : step * s_fast_part;
-    m_fast_run_s = std::clamp(m_fast_run_s, 0.0, m_run_s);
+    auto const step = s_newest * m_run_time_s;
+    m_fast_run_time_s += seconds < m_fast_run_time_s ? -step * (1 - s_fast_part)
+                                                     : step * s_fast_part;
+    m_fast_run_time_s = std::clamp(m_fast_run_time_s, 0.0, m_run_time_s);
 }
 
-void minion_pool::judge(minion_slots& minion, base::instant now)
+void minion_pool::eject_outlier(minion_slots& minion, base::instant now)
 {
     auto& health = minion.health();
     auto const in_time =
-        !m_queue.empty() && base::seconds_of(health.run()) < m_allowed_s;
-    auto const help = in_time ? slow_help::in_time : slow_help::none;
-    if (m_ejection.is_outlier(health, peers_of(minion), help) && may_eject())
+        !m_queue.empty() && base::seconds_of(health.run_time()) < m_allowed_s;
+    auto const help =
+        in_time ? slow_minion_use::in_time : slow_minion_use::none;
+    if (m_ejection.is_outlier(health, peer_statistics_of(minion), help) &&
+        may_eject())
     {
         health.eject(now);
     }
 }
 
-void minion_pool::judge_silent(base::instant now)
+void minion_pool::eject_unresponsive(base::instant now)
 {
     for (auto& [id, minion] : m_minions)
     {
         auto& health = minion.health();
-        if (health.state() != health_state::in)
+        if (health.state() != health_state::active)
         {
             continue;
         }
-        auto const peers = peers_of(minion);
+        auto const peers = peer_statistics_of(minion);
         // One long call alone proves nothing; several, while nothing else was
         // answered, do.
-        if (m_ejection.is_silent(health, peers, now) &&
-            minion.running_longer(m_ejection.silence(peers), now) >=
-                s_hanging &&
+        if (m_ejection.is_unresponsive(health, peers, now) &&
+            minion.count_running_longer(m_ejection.silence_threshold(peers),
+                                        now) >= s_hanging &&
             may_eject())
         {
             health.eject(now);
@@ -195,12 +197,13 @@
             continue;
         }
         ++all;
-        out += minion.health().state() == health_state::in ? 0 : 1;
+        out += minion.health().state() == health_state::active ? 0 : 1;
     }
     return m_ejection.may_eject(all, out);
 }
 
-peer_figures minion_pool::peers_of(minion_slots const& except) const
+peer_statistics
+minion_pool::peer_statistics_of(minion_slots const& except) const
 {
     std::vector<minion_health const*> peers;
     for (auto const& [id, minion] : m_minions)
@@ -210,7 +213,7 @@
             peers.push_back(&minion.health());
         }
     }
-    return ejection_rules::figures_of(peers);
+    return ejection_rules::statistics_of(peers);
 }
 
 std::int32_t minion_pool::usable_slots(base::instant now) const
@@ -223,10 +226,10 @@
     return n;
 }
 
-base::duration minion_pool::wait_of(double turns, base::instant now) const
+base::duration minion_pool::expected_wait(double turns, base::instant now) const
 {
     auto const slots = std::max(usable_slots(now), std::int32_t{1});
-    return base::from_seconds((turns + 1) * m_run_s /
+    return base::from_seconds((turns + 1) * m_run_time_s /
                               static_cast<double>(slots));
 }
 
--- a/libraries/calls/minion_pool_expiry.cpp
+++ b/libraries/calls/minion_pool_expiry.cpp
@@ -32,18 +32,18 @@
     {
         for (auto const& ended : minion.expire(now))
         {
-            m_flights.erase(ended);
+            m_sent_calls.erase(ended);
         }
         if (minion.health().start_probe(now))
         {
             out.emplace_back(probe_minion{id});
         }
     }
-    give_up_late(now, out);
-    judge_silent(now);
+    give_up_expired(now, out);
+    eject_unresponsive(now);
     erase_removed();
-    auto const least = now + base::from_seconds(m_fast_run_s);
-    for (auto const& it : m_queue.take_due(least))
+    auto const least = now + base::from_seconds(m_fast_run_time_s);
+    for (auto const& it : m_queue.take_expiring(least))
     {
         refuse(it, refusal_code::deadline_too_short, now, out);
     }
@@ -56,7 +56,8 @@
     auto next = now + s_look_every;
     if (auto const deadline = m_queue.earliest_deadline())
     {
-        next = std::min(next, *deadline - base::from_seconds(m_fast_run_s));
+        next =
+            std::min(next, *deadline - base::from_seconds(m_fast_run_time_s));
     }
     if (!m_deadlines.empty())
     {
@@ -74,17 +75,17 @@
     }
 }
 
-void minion_pool::give_up_late(base::instant now, minion_pool_actions& out)
+void minion_pool::give_up_expired(base::instant now, minion_pool_actions& out)
 {
     while (!m_deadlines.empty() && m_deadlines.top().first <= now)
     {
         auto const id = m_deadlines.top().second;
         m_deadlines.pop();
-        auto const found = m_flights.find(id);
-        if (found != m_flights.end() && found->second.awaited)
+        auto const found = m_sent_calls.find(id);
+        if (found != m_sent_calls.end() && found->second.awaited)
         {
             stop_waiting(id, found->second, out);
-            note_timeout(found->second, now);
+            record_timeout(found->second, now);
         }
     }
 }
--- a/libraries/calls/minion_slots.cpp
+++ b/libraries/calls/minion_slots.cpp
@@ -30,19 +30,19 @@
 {
     auto const most =
         std::max(m_endpoint.connections - s_spare_connections, std::int32_t{1});
-    return busy() < usable(now) && m_open < most;
+    return busy() < usable(now) && m_open_connections < most;
 }
 
 void minion_slots::take(std::string const& request_id, base::instant now)
 {
     assert(has_room(now));
     m_holds.emplace(request_id, slot_hold{hold_kind::awaited, now, {}});
-    ++m_open;
+    ++m_open_connections;
 }
 
-void minion_slots::take_unseen(std::string const& request_id,
-                               base::instant now,
-                               base::instant free_at)
+void minion_slots::take_inherited(std::string const& request_id,
+                                  base::instant now,
+                                  base::instant free_at)
 {
     m_holds.emplace(request_id, slot_hold{hold_kind::lingering, now, free_at});
 }
@@ -65,7 +65,7 @@
     }
     it->second.kind = hold_kind::lingering;
     it->second.free_at = free_at;
-    --m_open;
+    --m_open_connections;
 }
 
 std::optional<slot_hold> minion_slots::release(std::string const& request_id)
@@ -76,7 +76,7 @@
         return std::nullopt;
     }
     auto const hold = it->second;
-    m_open -= hold.kind == hold_kind::lingering ? 0 : 1;
+    m_open_connections -= hold.kind == hold_kind::lingering ? 0 : 1;
     m_holds.erase(it);
     return hold;
 }
@@ -98,8 +98,8 @@
     return ended;
 }
 
-std::int32_t minion_slots::running_longer(base::duration span,
-                                          base::instant now) const
+std::int32_t minion_slots::count_running_longer(base::duration span,
+                                                base::instant now) const
 {
     return static_cast<std::int32_t>(
         std::count_if(m_holds.begin(), m_holds.end(),
--- a/libraries/calls/minion_slots.hpp
+++ b/libraries/calls/minion_slots.hpp
@@ -51,9 +51,9 @@
     void take(std::string const& request_id, base::instant now);
 
     /// Takes a slot that an earlier owner of the group may be using.
-    void take_unseen(std::string const& request_id,
-                     base::instant now,
-                     base::instant free_at);
+    void take_inherited(std::string const& request_id,
+                        base::instant now,
+                        base::instant free_at);
 
     /// Marks a call as no longer awaited; its slot stays taken.
     void give_up(std::string const& request_id);
@@ -72,8 +72,8 @@
 
     /// Number of calls with an open connection that have been running for
     /// longer than `span`.
-    [[nodiscard]] std::int32_t running_longer(base::duration span,
-                                              base::instant now) const;
+    [[nodiscard]] std::int32_t count_running_longer(base::duration span,
+                                                    base::instant now) const;
 
     /// Number of slots usable now, including those in use; 0 if the minion is
     /// leaving.
@@ -86,7 +86,7 @@
 
     [[nodiscard]] std::int32_t open_connections() const noexcept
     {
-        return m_open;
+        return m_open_connections;
     }
 
     [[nodiscard]] model::endpoint const& endpoint() const noexcept
@@ -113,7 +113,7 @@
     model::endpoint m_endpoint;
     minion_health m_health;
     std::unordered_map<std::string, slot_hold> m_holds;
-    std::int32_t m_open{0};
+    std::int32_t m_open_connections{0};
 };
 
 } // namespace berylhill::calls
--- a/libraries/calls/retry_budget.cpp
+++ b/libraries/calls/retry_budget.cpp
@@ -24,21 +24,21 @@
 {
 }
 
-void retry_budget::first_attempt(std::string const& contract)
+void retry_budget::add_first_attempt(std::string const& contract)
 {
     auto& saved = m_saved[contract];
-    saved = std::min(saved + m_settings.share, m_settings.most_saved);
+    saved = std::min(saved + m_settings.share, m_settings.max_saved);
 }
 
-bool retry_budget::has(std::string const& contract) const
+bool retry_budget::has_resend(std::string const& contract) const
 {
     auto const it = m_saved.find(contract);
     return it != m_saved.end() && it->second + s_rounding >= 1;
 }
 
-bool retry_budget::take(std::string const& contract)
+bool retry_budget::take_resend(std::string const& contract)
 {
-    if (!has(contract))
+    if (!has_resend(contract))
     {
         return false;
     }
@@ -51,7 +51,7 @@
     auto const doublings = std::clamp(attempt - 1, 0, s_most_doublings);
     auto const whole = std::min(
         std::ldexp(base::seconds_of(m_settings.first_back_off), doublings),
-        base::seconds_of(m_settings.longest_back_off));
+        base::seconds_of(m_settings.max_back_off));
     return base::from_seconds(uniform(m_random, whole / 2, whole));
 }
 
--- a/libraries/calls/retry_budget.hpp
+++ b/libraries/calls/retry_budget.hpp
@@ -17,11 +17,11 @@
     double share{0.1};
     /// Maximum number of resends in the budget, so that a contract with few
     /// calls can resend at all.
-    double most_saved{10};
+    double max_saved{10};
     /// Maximum number of attempts at one call, the first one included.
-    std::int32_t most_attempts{3};
+    std::int32_t max_attempts{3};
     base::duration first_back_off{std::chrono::milliseconds{10}};
-    base::duration longest_back_off{std::chrono::seconds{1}};
+    base::duration max_back_off{std::chrono::seconds{1}};
 
     friend bool operator==(retry_settings const&,
                            retry_settings const&) = default;
@@ -38,13 +38,13 @@
 
     /// Records a first attempt, which adds a fraction of a resend to the
     /// budget.
-    void first_attempt(std::string const& contract);
+    void add_first_attempt(std::string const& contract);
 
     /// Takes one resend from the contract's budget, if it has one.
-    [[nodiscard]] bool take(std::string const& contract);
+    [[nodiscard]] bool take_resend(std::string const& contract);
 
     /// Whether `take` would succeed.
-    [[nodiscard]] bool has(std::string const& contract) const;
+    [[nodiscard]] bool has_resend(std::string const& contract) const;
 
     /// Delay before attempt number `attempt`, counted from 1 for the first
     /// resend. It doubles with each attempt and is drawn at random between half
--- a/libraries/calls/router.cpp
+++ b/libraries/calls/router.cpp
@@ -26,12 +26,12 @@
 {
 }
 
-void router::heard(group_digest const& it, base::instant now)
+void router::update_group(group_digest const& it, base::instant now)
 {
     auto const old = m_service_of.find(it.group);
     if (old != m_service_of.end() && old->second != it.service)
     {
-        forget(it.group);
+        remove_group(it.group);
     }
     m_service_of[it.group] = it.service;
     auto& known = m_services[it.service][it.group];
@@ -43,12 +43,12 @@
         return;
     }
     known.digest = it;
-    known.heard_at = now;
+    known.updated_at = now;
     known.sent_since = 0;
     known.full = false;
 }
 
-void router::forget(std::string const& group)
+void router::remove_group(std::string const& group)
 {
     auto const service = m_service_of.find(group);
     if (service == m_service_of.end())
@@ -61,21 +61,21 @@
 
 std::optional<route> router::choose(std::string const& service,
                                     std::vector<std::string> const& tried,
-                                    wanted_room room,
+                                    required_capacity room,
                                     base::instant now)
 {
-    return draw(candidates(service, tried, room, now), now);
+    return pick_of_two(candidates(service, tried, room, now), now);
 }
 
-bool router::offers(std::string const& service,
-                    std::vector<std::string> const& tried,
-                    wanted_room room,
-                    base::instant now)
+bool router::has_candidate(std::string const& service,
+                           std::vector<std::string> const& tried,
+                           required_capacity room,
+                           base::instant now)
 {
     return !candidates(service, tried, room, now).empty();
 }
 
-void router::refused(std::string const& group)
+void router::mark_full(std::string const& group)
 {
     auto const service = m_service_of.find(group);
     if (service != m_service_of.end())
@@ -104,7 +104,7 @@
     return at;
 }
 
-bool router::knows(std::string const& service) const
+bool router::knows_service(std::string const& service) const
 {
     auto const it = m_services.find(service);
     return it != m_services.end() && !it->second.empty();
@@ -117,8 +117,8 @@
         std::erase_if(groups,
                       [&](auto const& it)
                       {
-                          auto const old =
-                              now - it.second.heard_at > m_settings.gone;
+                          auto const old = now - it.second.updated_at >
+                                           m_settings.remove_after;
                           if (old)
                           {
                               m_service_of.erase(it.first);
@@ -130,7 +130,7 @@
 
 router::group_list router::candidates(std::string const& service,
                                       std::vector<std::string> const& tried,
-                                      wanted_room room,
+                                      required_capacity room,
                                       base::instant now)
 {
     group_list fresh;
@@ -144,37 +144,38 @@
     {
         auto const was_tried =
             std::find(tried.begin(), tried.end(), group) != tried.end();
-        if (was_tried || !has_room(it, room, now))
+        if (was_tried || !has_capacity(it, room, now))
         {
             continue;
         }
-        auto const is_old = now - it.heard_at > m_settings.stale;
+        auto const is_old = now - it.updated_at > m_settings.stale_after;
         (is_old ? old : fresh).push_back(&it);
     }
     return fresh.empty() ? old : fresh;
 }
 
-bool router::has_room(known_group const& it,
-                      wanted_room room,
-                      base::instant now) const
+bool router::has_capacity(known_group const& it,
+                          required_capacity room,
+                          base::instant now) const
 {
-    if (room == wanted_room::any)
+    if (room == required_capacity::any)
     {
         return true;
     }
-    if (it.full || now - it.heard_at > m_settings.stale)
+    if (it.full || now - it.updated_at > m_settings.stale_after)
     {
         return false;
     }
     auto const& digest = it.digest;
     auto const used = digest.busy + digest.queued + it.sent_since;
-    auto const most = room == wanted_room::idle
+    auto const most = room == required_capacity::idle
                           ? digest.slots
                           : digest.slots * s_short_queue_per_slot;
     return used < most;
 }
 
-std::optional<route> router::draw(group_list const& among, base::instant now)
+std::optional<route> router::pick_of_two(group_list const& among,
+                                         base::instant now)
 {
     if (among.empty())
     {
@@ -208,8 +209,8 @@
     auto const load =
         static_cast<double>(digest.busy + digest.queued + it.sent_since) /
         static_cast<double>(digest.slots);
-    auto const age = std::max(base::seconds_of(now - it.heard_at) -
-                                  base::seconds_of(m_settings.fresh),
+    auto const age = std::max(base::seconds_of(now - it.updated_at) -
+                                  base::seconds_of(m_settings.fresh_for),
                               0.0);
     // The older a digest, the less reliable it is.
     auto const full = it.full ? s_full_s : 0;
--- a/libraries/calls/router.hpp
+++ b/libraries/calls/router.hpp
@@ -19,18 +19,18 @@
 {
     /// Age up to which a digest counts as current; beyond it, the expected wait
     /// grows with the age.
-    base::duration fresh{std::chrono::milliseconds{500}};
+    base::duration fresh_for{std::chrono::milliseconds{500}};
     /// Age after which a digest is used only if there is no newer one.
-    base::duration stale{std::chrono::seconds{3}};
+    base::duration stale_after{std::chrono::seconds{3}};
     /// Age of the digest after which the group is removed.
-    base::duration gone{std::chrono::seconds{30}};
+    base::duration remove_after{std::chrono::seconds{30}};
 
     friend bool operator==(router_settings const&,
                            router_settings const&) = default;
 };
 
 /// Capacity that a group must have to be chosen.
-enum class wanted_room : std::uint8_t
+enum class required_capacity : std::uint8_t
 {
     any,         ///< For first attempts, and after a minion failed.
     short_queue, ///< For calls that another owner refused: under overload a
@@ -60,28 +60,28 @@
 
     /// Applies a digest. One older than the known digest of its group is
     /// ignored.
-    void heard(group_digest const& it, base::instant now);
+    void update_group(group_digest const& it, base::instant now);
 
     /// Removes a group that has lost its owner or has got a new one.
-    void forget(std::string const& group);
+    void remove_group(std::string const& group);
 
     /// Chooses a group of the service that is not in `tried` and has this
     /// capacity as far as is known; empty if there is none.
     [[nodiscard]] std::optional<route>
     choose(std::string const& service,
            std::vector<std::string> const& tried,
-           wanted_room room,
+           required_capacity room,
            base::instant now);
 
     /// Whether `choose` would find a group now.
-    [[nodiscard]] bool offers(std::string const& service,
-                              std::vector<std::string> const& tried,
-                              wanted_room room,
-                              base::instant now);
+    [[nodiscard]] bool has_candidate(std::string const& service,
+                                     std::vector<std::string> const& tried,
+                                     required_capacity room,
+                                     base::instant now);
 
     /// Records that the group's owner refused a call for lack of capacity: the
     /// group counts as full until its next digest.
-    void refused(std::string const& group);
+    void mark_full(std::string const& group);
 
     /// When to send a hedge for an idempotent call: after a time within which
     /// most calls of the service end. Empty if a hedge would not help before
@@ -90,7 +90,7 @@
     hedge_at(std::string const& group, call const& it, base::instant now) const;
 
     /// Whether any group of the service is known.
-    [[nodiscard]] bool knows(std::string const& service) const;
+    [[nodiscard]] bool knows_service(std::string const& service) const;
 
     /// Removes groups whose digest is too old.
     void expire(base::instant now);
@@ -99,7 +99,7 @@
     struct known_group
     {
         group_digest digest;
-        base::instant heard_at;
+        base::instant updated_at;
         bool full{false};
         /// Calls sent by this entry since the digest, which it does not
         /// include.
@@ -109,12 +109,13 @@
 
     [[nodiscard]] group_list candidates(std::string const& service,
                                         std::vector<std::string> const& tried,
-                                        wanted_room room,
+                                        required_capacity room,
                                         base::instant now);
-    [[nodiscard]] bool
-    has_room(known_group const& it, wanted_room room, base::instant now) const;
-    [[nodiscard]] std::optional<route> draw(group_list const& among,
-                                            base::instant now);
+    [[nodiscard]] bool has_capacity(known_group const& it,
+                                    required_capacity room,
+                                    base::instant now) const;
+    [[nodiscard]] std::optional<route> pick_of_two(group_list const& among,
+                                                   base::instant now);
 
     [[nodiscard]] double expected_wait_s(known_group const& it,
                                          base::instant now) const;
--- a/tests/calls/admission_test.cpp
+++ b/tests/calls/admission_test.cpp
@@ -1,7 +1,7 @@
 #include "fixtures.hpp"
 
 #include <calls/admission.hpp>
-#include <calls/limit_share.hpp>
+#include <calls/divide_limit.hpp>
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -96,7 +96,8 @@
 // Guards against a limit exceeded for seconds after each start of an entry: the
 // new entry uses its share at once, while the others have not yet received its
 // demand and still use the whole limit.
-BOOST_AUTO_TEST_CASE(a_joiner_admits_nothing_until_the_others_gave_up_a_part)
+BOOST_AUTO_TEST_CASE(
+    a_new_entry_admits_nothing_until_the_others_reduced_their_shares)
 {
     auto it = entry("e-1");
     rounds(it, 0, 800);
@@ -112,11 +113,11 @@
 // Guards against a limit exceeded after a process was suspended: an entry is
 // stopped for 20 s, its peers remove it and use its share, and when it resumes
 // it admits calls against its old share.
-BOOST_AUTO_TEST_CASE(a_part_lapses_while_the_process_is_stopped)
+BOOST_AUTO_TEST_CASE(a_share_expires_while_the_process_is_suspended)
 {
     auto it = entry("e-1");
     rounds(it, 0, 2'000);
-    BOOST_TEST(it.part_of("kitakaze").at_once == 10);
+    BOOST_TEST(it.share_of("kitakaze").at_once == 10);
     BOOST_TEST(admitted(it, at_ms(22'000)) == 0);
     rounds(it, 22'000, 22'800);
     BOOST_TEST(admitted(it, at_ms(22'900)) == 0);
@@ -124,23 +125,23 @@
     BOOST_TEST(admitted(it, at_ms(23'600)) == 10);
 }
 
-BOOST_AUTO_TEST_CASE(a_part_shrinks_at_once_and_grows_when_settled)
+BOOST_AUTO_TEST_CASE(a_share_shrinks_at_once_and_grows_after_the_settling_time)
 {
     auto it = entry("e-1");
     rounds(it, 0, 2'000);
     calls::entry_demand const busy{"e-2", {{"kitakaze", 900, 30}}};
     rounds(it, 2'200, 2'200, {busy});
-    BOOST_TEST(it.part_of("kitakaze").at_once == 1);
+    BOOST_TEST(it.share_of("kitakaze").at_once == 1);
     calls::entry_demand const quiet{"e-2", {}};
     rounds(it, 2'400, 3'200, {quiet});
-    BOOST_TEST(it.part_of("kitakaze").at_once == 1);
+    BOOST_TEST(it.share_of("kitakaze").at_once == 1);
     rounds(it, 3'400, 3'600, {quiet});
-    BOOST_TEST(it.part_of("kitakaze").at_once == 10);
+    BOOST_TEST(it.share_of("kitakaze").at_once == 10);
 }
 
 // Guards against a permanent loss of concurrency: an entry fails with calls in
 // flight whose end is never reported, so that they stay counted.
-BOOST_AUTO_TEST_CASE(calls_of_a_dead_entry_give_their_concurrency_back)
+BOOST_AUTO_TEST_CASE(calls_of_a_failed_entry_release_their_concurrency)
 {
     auto it = entry("e-1");
     rounds(it, 0, 2'000);
@@ -157,7 +158,7 @@
     BOOST_TEST(admitted(it, at_ms(2'100)) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_with_its_part_used_up_asks_another_home_once)
+BOOST_AUTO_TEST_CASE(an_entry_with_an_exhausted_share_asks_another_home_once)
 {
     auto it = entry("e-1");
     rounds(it, 0, 2'000);
--- a/tests/calls/attempt_rules_test.cpp
+++ b/tests/calls/attempt_rules_test.cpp
@@ -11,7 +11,7 @@
 using calls::attempt_end;
 using calls::next_step;
 using calls::ran;
-using calls::resend_room;
+using calls::resend_allowance;
 using model::rerun;
 
 BOOST_AUTO_TEST_SUITE(attempt_rules)
@@ -57,7 +57,7 @@
              s_resend, s_not_run, s_not_run, s_unknown},
     end_case{"connection_lost", attempt_end::connection_lost, s_unknown,
              s_unknown, s_resend, s_unknown, s_unknown, s_unknown},
-    end_case{"cut_short", attempt_end::cut_short, s_unknown, s_unknown,
+    end_case{"cut_short", attempt_end::answer_truncated, s_unknown, s_unknown,
              s_resend, s_unknown, s_unknown, s_unknown},
     end_case{"timed_out", attempt_end::timed_out, s_unknown, s_unknown,
              s_resend, s_unknown, s_unknown, s_unknown},
@@ -74,14 +74,14 @@
 BOOST_DATA_TEST_CASE(what_follows_each_end, s_ends, it)
 {
     using rules = calls::attempt_rules;
-    auto const after = [&](rerun safety, ran earlier, resend_room room)
+    auto const after = [&](rerun safety, ran earlier, resend_allowance room)
     {
-        return rules::after(it.end, safety, earlier, room);
+        return rules::decide(it.end, safety, earlier, room);
     };
     auto const once = rerun::at_most_once;
     auto const again = rerun::idempotent;
-    auto const left = resend_room::left;
-    auto const none = resend_room::none;
+    auto const left = resend_allowance::allowed;
+    auto const none = resend_allowance::exhausted;
     BOOST_CHECK(after(once, ran::not_run, left) == it.once);
     BOOST_CHECK(after(once, ran::unknown, left) == it.once_tainted);
     BOOST_CHECK(after(again, ran::not_run, left) == it.again);
@@ -94,9 +94,11 @@
 BOOST_AUTO_TEST_CASE(only_idempotent_calls_within_the_budget_are_hedged)
 {
     using rules = calls::attempt_rules;
-    BOOST_TEST(rules::may_hedge(rerun::idempotent, resend_room::left));
-    BOOST_TEST(!rules::may_hedge(rerun::idempotent, resend_room::none));
-    BOOST_TEST(!rules::may_hedge(rerun::at_most_once, resend_room::left));
+    BOOST_TEST(rules::may_hedge(rerun::idempotent, resend_allowance::allowed));
+    BOOST_TEST(
+        !rules::may_hedge(rerun::idempotent, resend_allowance::exhausted));
+    BOOST_TEST(
+        !rules::may_hedge(rerun::at_most_once, resend_allowance::allowed));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/calls/call_dispatcher_test.cpp
+++ b/tests/calls/call_dispatcher_test.cpp
@@ -225,7 +225,8 @@
 // Guards against refusals during a planned stop: an entry hands its group over,
 // and the calls that waited there are refused because the contract has no
 // resends in its budget and the group counts as tried.
-BOOST_AUTO_TEST_CASE(a_group_that_changes_hands_is_asked_again_for_free)
+BOOST_AUTO_TEST_CASE(
+    a_group_that_changes_its_owner_is_asked_again_without_charge)
 {
     calls::call_dispatcher it{{}, {}, calls::generator{5}};
     it.update_group(digest_of("g-1"), at_ms(0));
--- a/tests/calls/call_queue_test.cpp
+++ b/tests/calls/call_queue_test.cpp
@@ -69,7 +69,7 @@
     calls::call_queue it;
     it.push(weighed("normal", "c", 1));
     auto urgent = weighed("urgent", "c", 1);
-    urgent.urgent = model::urgency::urgent;
+    urgent.urgency = model::urgency::urgent;
     it.push(urgent);
     BOOST_TEST(it.pop()->request_id == "urgent");
     BOOST_TEST(it.pop()->request_id == "normal");
@@ -103,9 +103,9 @@
         each.deadline = at_ms(100 * (i % 3));
         it.push(each);
     }
-    BOOST_TEST(it.take_due(at_ms(100)).size() == 2U);
+    BOOST_TEST(it.take_expiring(at_ms(100)).size() == 2U);
     BOOST_CHECK(it.earliest_deadline() == at_ms(100));
-    BOOST_TEST(it.take_due(at_ms(1'000)).size() == 4U);
+    BOOST_TEST(it.take_expiring(at_ms(1'000)).size() == 4U);
     BOOST_TEST(it.empty());
     BOOST_TEST(!it.earliest_deadline().has_value());
 }
--- a/tests/calls/ejection_test.cpp
+++ b/tests/calls/ejection_test.cpp
@@ -29,16 +29,16 @@
 };
 
 /// A pool whose minions behave as configured, with one call per millisecond.
-class driven_ledger
+class driven_pool
 {
 public:
-    explicit driven_ledger(std::vector<behaviour> minions)
+    explicit driven_pool(std::vector<behaviour> minions)
         : m_minions{std::move(minions)}
-        , m_ledger{"g-1", "report-svc", {}, calls::generator{7}}
+        , m_pool{"g-1", "report-svc", {}, calls::generator{7}}
     {
         for (std::size_t i = 0; i < m_minions.size(); ++i)
         {
-            act(m_ledger.set_minion(minion(std::to_string(i)), now()));
+            act(m_pool.set_minion(minion(std::to_string(i)), now()));
         }
     }
 
@@ -52,9 +52,9 @@
             {
                 answer(due->second);
             }
-            act(m_ledger.expire(now()));
+            act(m_pool.expire(now()));
             auto const id = "r-" + std::to_string(m_ms);
-            act(m_ledger.offer(call_of(id, now()), now()));
+            act(m_pool.offer(call_of(id, now()), now()));
         }
     }
 
@@ -65,12 +65,12 @@
 
     [[nodiscard]] health_state state(std::size_t minion) const
     {
-        return m_ledger.find(std::to_string(minion))->health().state();
+        return m_pool.find(std::to_string(minion))->health().state();
     }
 
     [[nodiscard]] std::int32_t usable(std::size_t minion) const
     {
-        return m_ledger.find(std::to_string(minion))->usable(now());
+        return m_pool.find(std::to_string(minion))->usable(now());
     }
 
     [[nodiscard]] std::size_t out() const
@@ -78,7 +78,7 @@
         std::size_t n = 0;
         for (std::size_t i = 0; i < m_minions.size(); ++i)
         {
-            n += state(i) == health_state::in ? 0 : 1;
+            n += state(i) == health_state::active ? 0 : 1;
         }
         return n;
     }
@@ -97,10 +97,9 @@
 
     void answer(std::string const& id)
     {
-        auto const& how = m_minions[std::stoul(m_ledger.minion_of(id))];
-        act(how.end == call_end::failed
-                ? m_ledger.not_run(id, now())
-                : m_ledger.answered(id, how.end, now()));
+        auto const& how = m_minions[std::stoul(m_pool.minion_of(id))];
+        act(how.end == call_end::failed ? m_pool.not_run(id, now())
+                                        : m_pool.answered(id, how.end, now()));
     }
 
     void act(calls::minion_pool_actions const& actions)
@@ -116,12 +115,12 @@
         }
         for (auto const& it : only<calls::probe_minion>(actions))
         {
-            act(m_ledger.probed(it.minion, true, now()));
+            act(m_pool.probed(it.minion, true, now()));
         }
     }
 
     std::vector<behaviour> m_minions;
-    calls::minion_pool m_ledger;
+    calls::minion_pool m_pool;
     std::int64_t m_ms{1};
     std::multimap<std::int64_t, std::string> m_due;
     std::map<std::string, int> m_sends;
@@ -156,9 +155,9 @@
 // always the least loaded and attracts most calls.
 BOOST_DATA_TEST_CASE(one_bad_minion_is_taken_out, s_bad, it)
 {
-    driven_ledger group{{s_good, s_good, it.how, s_good, s_good, s_good}};
+    driven_pool group{{s_good, s_good, it.how, s_good, s_good, s_good}};
     group.run_for(1'000);
-    BOOST_CHECK(group.state(2) != health_state::in);
+    BOOST_CHECK(group.state(2) != health_state::active);
     BOOST_TEST(group.out() == 1U);
     std::ignore = group.take_sends();
     group.run_for(500);
@@ -170,14 +169,14 @@
 // is back.
 BOOST_DATA_TEST_CASE(minions_that_are_all_bad_stay_in, s_bad, it)
 {
-    driven_ledger group{{it.how, it.how, it.how, it.how}};
+    driven_pool group{{it.how, it.how, it.how, it.how}};
     group.run_for(3'000);
     BOOST_TEST(group.out() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(never_more_than_half_are_out)
 {
-    driven_ledger group{
+    driven_pool group{
         {s_good, s_good, s_good, s_failing, s_failing, s_failing}};
     group.run_for(1'500);
     BOOST_TEST(group.out() == 3U);
@@ -188,14 +187,14 @@
 
 // Guards against a recovered minion that gets its full load at once, with cold
 // caches, and is ejected again. It starts with one call at a time.
-BOOST_AUTO_TEST_CASE(a_minion_that_is_well_again_comes_back_slowly)
+BOOST_AUTO_TEST_CASE(a_recovered_minion_returns_slowly)
 {
-    driven_ledger group{{s_good, s_good, s_failing, s_good}};
+    driven_pool group{{s_good, s_good, s_failing, s_good}};
     group.run_for(1'000);
     BOOST_CHECK(group.state(2) == health_state::ejected);
     group.set(2, s_good);
     group.run_for(1'500);
-    BOOST_CHECK(group.state(2) == health_state::in);
+    BOOST_CHECK(group.state(2) == health_state::active);
     BOOST_TEST(group.usable(2) <= 2);
     group.run_for(2'000);
     BOOST_TEST(group.usable(2) >= 3);
@@ -209,13 +208,13 @@
     calls::health_settings const settings;
     calls::minion_health it{settings};
     auto now = at_ms(0);
-    for (auto span = settings.first_ejection; span < settings.longest_ejection;
+    for (auto span = settings.first_ejection; span < settings.max_ejection;
          span *= 2)
     {
         it.eject(now);
-        BOOST_TEST((it.until() - now == span));
-        BOOST_TEST(!it.start_probe(it.until() - base::duration{1}));
-        now = it.until();
+        BOOST_TEST((it.ejected_until() - now == span));
+        BOOST_TEST(!it.start_probe(it.ejected_until() - base::duration{1}));
+        now = it.ejected_until();
         BOOST_TEST(it.start_probe(now));
     }
 }
--- a/tests/calls/idempotency_table_test.cpp
+++ b/tests/calls/idempotency_table_test.cpp
@@ -118,7 +118,7 @@
     BOOST_CHECK(why.execution == ran::not_run);
 }
 
-BOOST_AUTO_TEST_CASE(keys_of_two_contracts_never_meet)
+BOOST_AUTO_TEST_CASE(keys_of_two_contracts_are_distinct)
 {
     auto it = table();
     std::ignore = it.apply(intent("r-1"), at_ms(0));
--- a/tests/calls/minion_pool_test.cpp
+++ b/tests/calls/minion_pool_test.cpp
@@ -17,8 +17,8 @@
 namespace
 {
 
-calls::minion_pool ledger_with(std::vector<model::endpoint> const& minions,
-                               calls::minion_pool_settings settings = {})
+calls::minion_pool pool_with(std::vector<model::endpoint> const& minions,
+                             calls::minion_pool_settings settings = {})
 {
     calls::minion_pool it{"g-1", "report-svc", settings, calls::generator{7}};
     for (auto const& each : minions)
@@ -32,7 +32,7 @@
 
 BOOST_AUTO_TEST_CASE(a_call_is_sent_and_its_answer_delivered)
 {
-    auto it = ledger_with({minion("m-1")});
+    auto it = pool_with({minion("m-1")});
     auto const sent = only<calls::send_to_minion>(
         it.offer(call_of("r-1", at_ms(0)), at_ms(0)));
     BOOST_REQUIRE(sent.size() == 1U);
@@ -50,8 +50,8 @@
 BOOST_AUTO_TEST_CASE(a_call_given_up_on_keeps_its_slot)
 {
     calls::minion_pool_settings settings;
-    settings.longest_run = std::chrono::seconds{5};
-    auto it = ledger_with({minion("m-1", 1)}, settings);
+    settings.max_run_time = std::chrono::seconds{5};
+    auto it = pool_with({minion("m-1", 1)}, settings);
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
     auto const gone = only<calls::refuse_call>(it.give_up("r-1", at_ms(100)));
     BOOST_REQUIRE(gone.size() == 1U);
@@ -75,7 +75,7 @@
 // its own caller had been told "unknown", and was passed on to the next one.
 BOOST_AUTO_TEST_CASE(a_late_answer_reaches_nobody_and_frees_the_slot)
 {
-    auto it = ledger_with({minion("m-1", 1)});
+    auto it = pool_with({minion("m-1", 1)});
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
     auto const over = only<calls::refuse_call>(it.expire(at_ms(1'000)));
     BOOST_REQUIRE(over.size() == 1U);
@@ -94,7 +94,7 @@
 // twice: each goes to its own request id, and the duplicate is dropped.
 BOOST_AUTO_TEST_CASE(crossed_and_doubled_answers_go_to_their_own_calls)
 {
-    auto it = ledger_with({minion("m-1")});
+    auto it = pool_with({minion("m-1")});
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
     std::ignore = it.offer(call_of("r-2", at_ms(0)), at_ms(0));
     auto const second = only<calls::deliver_answer>(
@@ -115,7 +115,7 @@
 // the second one was sent to another minion.
 BOOST_AUTO_TEST_CASE(an_attempt_offered_twice_is_sent_once)
 {
-    auto it = ledger_with({minion("m-1"), minion("m-2")});
+    auto it = pool_with({minion("m-1"), minion("m-2")});
     auto const call = call_of("r-1/1", at_ms(0));
     BOOST_TEST(it.offer(call, at_ms(0)).size() == 1U);
     BOOST_TEST(it.offer(call, at_ms(1)).empty());
@@ -127,7 +127,7 @@
 {
     auto few = minion("m-2");
     few.connections = 4;
-    auto it = ledger_with({minion("m-1", 2), few});
+    auto it = pool_with({minion("m-1", 2), few});
     int sent = 0;
     for (int i = 0; i < 20; ++i)
     {
@@ -145,7 +145,7 @@
 // sent to it after its stop was announced.
 BOOST_AUTO_TEST_CASE(a_leaving_minion_gets_nothing_new)
 {
-    auto it = ledger_with({minion("m-1"), minion("m-2")});
+    auto it = pool_with({minion("m-1"), minion("m-2")});
     std::ignore = it.offer(call_of("r-0", at_ms(0)), at_ms(0));
     auto const at = it.minion_of("r-0");
     auto leaving = minion(at);
@@ -165,9 +165,9 @@
 // Guards against overloading a minion that the platform's endpoint list drops
 // by mistake and shows again: its running calls were forgotten, and it got
 // twice as many as it can hold.
-BOOST_AUTO_TEST_CASE(a_minion_that_drops_off_the_list_keeps_its_count)
+BOOST_AUTO_TEST_CASE(a_minion_missing_from_the_list_keeps_its_slot_count)
 {
-    auto it = ledger_with({minion("m-1", 2)});
+    auto it = pool_with({minion("m-1", 2)});
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
     std::ignore = it.offer(call_of("r-2", at_ms(0)), at_ms(0));
     std::ignore = it.remove_minion("m-1", at_ms(1));
@@ -183,7 +183,7 @@
 
 BOOST_AUTO_TEST_CASE(a_new_owner_counts_what_the_earlier_one_may_have_sent)
 {
-    auto it = ledger_with({minion("m-1", 1)});
+    auto it = pool_with({minion("m-1", 1)});
     it.adopt("m-1", "old-1", at_ms(500), at_ms(0));
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
     BOOST_TEST(it.queued() == 1U);
@@ -198,8 +198,8 @@
 BOOST_AUTO_TEST_CASE(a_call_that_cannot_make_its_deadline_is_refused_at_once)
 {
     calls::minion_pool_settings settings;
-    settings.first_run = std::chrono::milliseconds{100};
-    auto it = ledger_with({minion("m-1", 1)}, settings);
+    settings.initial_run_time = std::chrono::milliseconds{100};
+    auto it = pool_with({minion("m-1", 1)}, settings);
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
     auto tight = call_of("r-2", at_ms(0));
     tight.deadline = at_ms(150);
@@ -212,7 +212,7 @@
 
 BOOST_AUTO_TEST_CASE(a_queue_longer_than_its_bound_sheds_at_once)
 {
-    auto it = ledger_with({minion("m-1", 1)});
+    auto it = pool_with({minion("m-1", 1)});
     std::size_t refused = 0;
     for (int i = 0; i < 10; ++i)
     {
@@ -228,7 +228,7 @@
 
 BOOST_AUTO_TEST_CASE(a_call_given_up_on_in_the_queue_did_not_run)
 {
-    auto it = ledger_with({minion("m-1", 1)});
+    auto it = pool_with({minion("m-1", 1)});
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
     std::ignore = it.offer(call_of("r-2", at_ms(0)), at_ms(0));
     auto const out = only<calls::refuse_call>(it.give_up("r-2", at_ms(1)));
@@ -242,7 +242,7 @@
 // it.
 BOOST_AUTO_TEST_CASE(minions_that_are_fast_again_get_calls_with_little_time)
 {
-    auto it = ledger_with({minion("m-1"), minion("m-2")});
+    auto it = pool_with({minion("m-1"), minion("m-2")});
     for (std::int64_t i = 0; i < 200; ++i)
     {
         auto const id = "slow-" + std::to_string(i);
@@ -272,7 +272,7 @@
 // only from answers in time.
 BOOST_AUTO_TEST_CASE(late_answers_count_for_the_run_time)
 {
-    auto it = ledger_with({minion("m-1")});
+    auto it = pool_with({minion("m-1")});
     auto const before = it.digest(at_ms(0)).run_time;
     std::ignore = it.offer(call_of("r-1", at_ms(0)), at_ms(0));
     BOOST_TEST(only<calls::refuse_call>(it.expire(at_ms(1'000))).size() == 1U);
@@ -284,7 +284,7 @@
 // late, and half of the minions were ejected for it while calls were waiting.
 BOOST_AUTO_TEST_CASE(a_call_with_little_time_left_is_not_held_against_a_minion)
 {
-    auto it = ledger_with({minion("m-1"), minion("m-2")});
+    auto it = pool_with({minion("m-1"), minion("m-2")});
     for (std::int64_t i = 0; i < 20; ++i)
     {
         auto const id = "r-" + std::to_string(i);
@@ -297,8 +297,9 @@
         std::ignore =
             it.answered(id, call_end::succeeded, at_ms(i * 100 + slow));
     }
-    BOOST_CHECK(it.find("m-1")->health().state() == calls::health_state::in);
-    BOOST_TEST(it.find("m-1")->health().failing() == 0);
+    BOOST_CHECK(it.find("m-1")->health().state() ==
+                calls::health_state::active);
+    BOOST_TEST(it.find("m-1")->health().failure_rate() == 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/calls/problem_test.cpp
+++ b/tests/calls/problem_test.cpp
@@ -66,7 +66,7 @@
     BOOST_CHECK(calls::refusal_code_from(name) == it.code);
 }
 
-BOOST_AUTO_TEST_CASE(names_of_a_newer_version_promise_nothing)
+BOOST_AUTO_TEST_CASE(names_of_a_newer_version_guarantee_nothing)
 {
     BOOST_CHECK(calls::execution_state_from("surely_not_run") == ran::unknown);
     BOOST_CHECK(calls::refusal_code_from("moved") ==
--- a/tests/calls/router_test.cpp
+++ b/tests/calls/router_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace berylhill;
 using namespace berylhill::calls::testing;
-using calls::wanted_room;
+using calls::required_capacity;
 
 BOOST_AUTO_TEST_SUITE(router)
 
@@ -34,7 +34,8 @@
     std::map<std::string, int> counts;
     for (int i = 0; i < calls; ++i)
     {
-        auto const to = it.choose("report-svc", {}, wanted_room::any, now);
+        auto const to =
+            it.choose("report-svc", {}, required_capacity::any, now);
         ++counts[to ? to->group : "none"];
     }
     return counts;
@@ -47,10 +48,10 @@
 BOOST_AUTO_TEST_CASE(calls_since_the_digest_count)
 {
     calls::router it{{}, calls::generator{9}};
-    it.heard(loaded("idle", 0), at_ms(0));
+    it.update_group(loaded("idle", 0), at_ms(0));
     for (auto const* group : {"g-1", "g-2", "g-3"})
     {
-        it.heard(loaded(group, 5), at_ms(0));
+        it.update_group(loaded(group, 5), at_ms(0));
     }
     // All groups are equally loaded at 215 / 4 calls.
     auto const idle = chosen(it, 200, at_ms(400)).at("idle");
@@ -61,8 +62,8 @@
 BOOST_AUTO_TEST_CASE(the_less_loaded_of_two_is_chosen)
 {
     calls::router it{{}, calls::generator{9}};
-    it.heard(loaded("full", 10), at_ms(0));
-    it.heard(loaded("idle", 0), at_ms(0));
+    it.update_group(loaded("full", 10), at_ms(0));
+    it.update_group(loaded("idle", 0), at_ms(0));
     BOOST_TEST(chosen(it, 10, at_ms(1)).at("idle") == 10);
 }
 
@@ -71,12 +72,12 @@
 BOOST_AUTO_TEST_CASE(a_stale_digest_draws_no_calls_while_there_are_others)
 {
     calls::router it{{}, calls::generator{9}};
-    it.heard(loaded("dead", 0), at_ms(0));
-    it.heard(loaded("dead too", 0), at_ms(0));
-    it.heard(loaded("alive", 9), at_ms(3'500));
+    it.update_group(loaded("dead", 0), at_ms(0));
+    it.update_group(loaded("dead too", 0), at_ms(0));
+    it.update_group(loaded("alive", 9), at_ms(3'500));
     BOOST_TEST(chosen(it, 50, at_ms(3'600)).at("alive") == 50);
-    it.forget("alive");
-    it.forget("dead too");
+    it.remove_group("alive");
+    it.remove_group("dead too");
     BOOST_TEST(chosen(it, 1, at_ms(3'600)).at("dead") == 1);
     it.expire(at_ms(40'000));
     BOOST_TEST(chosen(it, 1, at_ms(40'000)).at("none") == 1);
@@ -90,12 +91,13 @@
     auto newer = loaded("g-1", 0);
     newer.owner = "e-2";
     newer.epoch = 2;
-    it.heard(newer, at_ms(0));
+    it.update_group(newer, at_ms(0));
     auto older = loaded("g-1", 0);
     older.owner = "e-1";
     older.sequence = 99;
-    it.heard(older, at_ms(1));
-    auto const to = it.choose("report-svc", {}, wanted_room::any, at_ms(1));
+    it.update_group(older, at_ms(1));
+    auto const to =
+        it.choose("report-svc", {}, required_capacity::any, at_ms(1));
     BOOST_REQUIRE(to);
     BOOST_TEST(to->owner == "e-2");
 }
@@ -103,14 +105,18 @@
 BOOST_AUTO_TEST_CASE(a_full_group_is_chosen_for_first_attempts_only)
 {
     calls::router it{{}, calls::generator{9}};
-    it.heard(loaded("g-1", 10), at_ms(0));
-    BOOST_TEST(!it.offers("report-svc", {}, wanted_room::idle, at_ms(1)));
-    BOOST_TEST(it.offers("report-svc", {}, wanted_room::short_queue, at_ms(1)));
-    it.refused("g-1");
+    it.update_group(loaded("g-1", 10), at_ms(0));
     BOOST_TEST(
-        !it.offers("report-svc", {}, wanted_room::short_queue, at_ms(1)));
-    BOOST_TEST(it.offers("report-svc", {}, wanted_room::any, at_ms(1)));
-    BOOST_TEST(!it.offers("report-svc", {"g-1"}, wanted_room::any, at_ms(1)));
+        !it.has_candidate("report-svc", {}, required_capacity::idle, at_ms(1)));
+    BOOST_TEST(it.has_candidate("report-svc", {},
+                                required_capacity::short_queue, at_ms(1)));
+    it.mark_full("g-1");
+    BOOST_TEST(!it.has_candidate("report-svc", {},
+                                 required_capacity::short_queue, at_ms(1)));
+    BOOST_TEST(
+        it.has_candidate("report-svc", {}, required_capacity::any, at_ms(1)));
+    BOOST_TEST(!it.has_candidate("report-svc", {"g-1"}, required_capacity::any,
+                                 at_ms(1)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/calls/side_rule_test.cpp
+++ b/tests/calls/side_history_test.cpp
@@ -1,4 +1,4 @@
-#include <calls/side_rule.hpp>
+#include <calls/side_history.hpp>
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -9,7 +9,7 @@
 
 using namespace berylhill;
 
-BOOST_AUTO_TEST_SUITE(side_rule)
+BOOST_AUTO_TEST_SUITE(side_history)
 
 namespace
 {
@@ -35,27 +35,27 @@
 
 // Guards against work done on both sides during a move: two entries read the
 // change of side at different times, and each decided by its own clock.
-BOOST_DATA_TEST_CASE(the_offset_alone_says_the_side, s_sides, it)
+BOOST_DATA_TEST_CASE(the_offset_alone_determines_the_side, s_sides, it)
 {
-    calls::side_rule first;
-    first.learn("kitakaze", 10, "sapporo");
-    first.learn("kitakaze", 20, "santander");
-    first.learn("kitakaze", 30, "sapporo");
-    calls::side_rule second;
-    second.learn("kitakaze", 30, "sapporo");
-    second.learn("kitakaze", 20, "santander");
-    second.learn("kitakaze", 10, "sapporo");
-    second.learn("kitakaze", 20, "elsewhere");
+    calls::side_history first;
+    first.add_change("kitakaze", 10, "sapporo");
+    first.add_change("kitakaze", 20, "santander");
+    first.add_change("kitakaze", 30, "sapporo");
+    calls::side_history second;
+    second.add_change("kitakaze", 30, "sapporo");
+    second.add_change("kitakaze", 20, "santander");
+    second.add_change("kitakaze", 10, "sapporo");
+    second.add_change("kitakaze", 20, "elsewhere");
     BOOST_TEST(first.side_of("kitakaze", it.accepted_at) == it.side);
     BOOST_TEST(second.side_of("kitakaze", it.accepted_at) == it.side);
 }
 
-BOOST_AUTO_TEST_CASE(old_changes_are_forgotten_but_for_the_one_in_force)
+BOOST_AUTO_TEST_CASE(old_changes_except_the_one_in_force_are_removed)
 {
-    calls::side_rule it;
-    it.learn("kitakaze", 10, "sapporo");
-    it.learn("kitakaze", 20, "santander");
-    it.forget_before(25);
+    calls::side_history it;
+    it.add_change("kitakaze", 10, "sapporo");
+    it.add_change("kitakaze", 20, "santander");
+    it.remove_before(25);
     BOOST_TEST(it.side_of("kitakaze", 19).empty());
     BOOST_TEST(it.side_of("kitakaze", 25) == "santander");
     BOOST_TEST(it.side_of("cantabrica", 25).empty());
