--- a/libraries/calls/idempotency_table.cpp
+++ b/libraries/calls/idempotency_table.cpp
@@ -6,24 +6,24 @@
 namespace
 {
 
-/// When a repeat of a call in progress may find its answer, in seconds.
+/// Retry-After for a repeat of a call in progress, in seconds.
 constexpr double s_ask_again_s = 1;
 
 } // namespace
 
 idempotency_table::idempotency_table(base::duration retention, std::size_t most)
     : m_retention{retention}
-    , m_most{most}
+    , m_max_keys{most}
 {
 }
 
 bool idempotency_table::apply(call_intent const& it, base::instant now)
 {
-    auto const key = flat(it.key);
+    auto const key = flat_key(it.key);
     auto const [found, added] = m_entries.try_emplace(key);
     auto& known = found->second;
     auto const again = !added && known.intent.request_id == it.request_id;
-    // A first call that did not run leaves the key to the next one.
+    // A first call that did not run releases the key for the next one.
     auto const unused = !added && known.outcome &&
                         !known.outcome->is_answer() &&
                         known.outcome->why().execution == ran::not_run &&
@@ -34,9 +34,9 @@
     }
     known.intent = it;
     known.outcome.reset();
-    // An intent of a process that was declared gone may be read late: its
-    // outcome will never come.
-    known.unknown = m_gone.contains(it.incarnation);
+    // The intent of a process that was declared lost may be read late; its
+    // outcome will never be written.
+    known.outcome_unknown = m_lost_writers.contains(it.incarnation);
     m_open[it.incarnation].insert(key);
     touch_entry(key, known, now);
     return true;
@@ -44,7 +44,7 @@
 
 void idempotency_table::apply(call_result const& it, base::instant now)
 {
-    auto const key = flat(it.key);
+    auto const key = flat_key(it.key);
     auto const found = m_entries.find(key);
     if (found == m_entries.end() ||
         found->second.intent.request_id != it.request_id ||
@@ -53,8 +53,8 @@
         return;
     }
     found->second.outcome = it.outcome;
-    // A result that was in flight when its writer went is the truth.
-    found->second.unknown = false;
+    // A result that was in flight when its writer was lost is valid.
+    found->second.outcome_unknown = false;
     auto const open = m_open.find(found->second.intent.incarnation);
     if (open != m_open.end())
     {
@@ -70,7 +70,7 @@
 void idempotency_table::mark_writer_lost(std::string const& incarnation,
                                          base::instant now)
 {
-    m_gone.emplace(incarnation, now);
+    m_lost_writers.emplace(incarnation, now);
     auto const open = m_open.find(incarnation);
     if (open == m_open.end())
     {
@@ -81,7 +81,7 @@
         auto const found = m_entries.find(key);
         if (found != m_entries.end())
         {
-            found->second.unknown = true;
+            found->second.outcome_unknown = true;
             touch_entry(key, found->second, now);
         }
     }
@@ -91,7 +91,7 @@
 key_state idempotency_table::state_of(idempotency_key const& key,
                                       std::uint64_t fingerprint) const
 {
-    auto const found = m_entries.find(flat(key));
+    auto const found = m_entries.find(flat_key(key));
     if (found == m_entries.end())
     {
         return key_state::unused;
@@ -101,7 +101,7 @@
     {
         return key_state::conflict;
     }
-    if (known.unknown)
+    if (known.outcome_unknown)
     {
         return key_state::outcome_unknown;
     }
@@ -121,7 +121,7 @@
 std::optional<call_outcome>
 idempotency_table::outcome_of(idempotency_key const& key) const
 {
-    auto const found = m_entries.find(flat(key));
+    auto const found = m_entries.find(flat_key(key));
     return found == m_entries.end() ? std::nullopt : found->second.outcome;
 }
 
@@ -131,18 +131,19 @@
     {
     case key_state::conflict:
         return {ran::not_run, refusal_code::key_conflict,
-                "another request was made under this key", 0};
+                "this idempotency key was used for another request", 0};
     case key_state::in_progress:
-        // It speaks of the first call, which may well have run by now.
+        // The refusal refers to the first call, which may already have run.
         return {ran::unknown, refusal_code::key_in_progress,
-                "the first call with this key is in progress", s_ask_again_s};
+                "the first call with this idempotency key is in progress",
+                s_ask_again_s};
     case key_state::unused:
     case key_state::answered:
     case key_state::outcome_unknown:
         break;
     }
     return {ran::unknown, refusal_code::outcome_unknown,
-            "the first call with this key may have run", 0};
+            "the first call with this idempotency key may have run", 0};
 }
 
 void idempotency_table::expire(base::instant now)
@@ -151,7 +152,7 @@
     {
         auto const found = m_entries.find(m_touched.front().key);
         if (found != m_entries.end() &&
-            found->second.touched == m_touched.front().at)
+            found->second.touched_at == m_touched.front().at)
         {
             auto const open = m_open.find(found->second.intent.incarnation);
             if (open != m_open.end())
@@ -162,13 +163,13 @@
         }
         m_touched.pop_front();
     }
-    std::erase_if(m_gone, [&](auto const& it)
+    std::erase_if(m_lost_writers, [&](auto const& it)
                   { return it.second + m_retention <= now; });
 }
 
-std::string idempotency_table::flat(idempotency_key const& it)
+std::string idempotency_table::flat_key(idempotency_key const& it)
 {
-    // The length first: no contract's name can reach into another's keys.
+    // The length prefix keeps the keys of different contracts distinct.
     return std::to_string(it.contract.size()) + ":" + it.contract + it.key;
 }
 
@@ -176,7 +177,7 @@
                                     entry& it,
                                     base::instant now)
 {
-    it.touched = now;
+    it.touched_at = now;
     m_touched.push_back({now, key});
 }
 
--- a/libraries/calls/router.hpp
+++ b/libraries/calls/router.hpp
@@ -17,28 +17,29 @@
 
 struct router_settings
 {
-    /// A digest older than this counts as less sure from then on.
-    base::duration fresh{std::chrono::milliseconds{500}};
-    /// A digest older than this is used only when there is no other.
-    base::duration stale{std::chrono::seconds{3}};
-    /// After this the group is forgotten.
-    base::duration gone{std::chrono::seconds{30}};
+    /// Age up to which a digest counts as current; beyond it, the expected wait
+    /// grows with the age.
+    base::duration fresh_for{std::chrono::milliseconds{500}};
+    /// Age after which a digest is used only if there is no newer one.
+    base::duration stale_after{std::chrono::seconds{3}};
+    /// Age of the digest after which the group is removed.
+    base::duration remove_after{std::chrono::seconds{30}};
 
     friend bool operator==(router_settings const&,
                            router_settings const&) = default;
 };
 
-/// What a group must have to be chosen.
-enum class wanted_room : std::uint8_t
+/// Capacity that a group must have to be chosen.
+enum class required_capacity : std::uint8_t
 {
-    any,         ///< For first attempts, and when a minion failed.
+    any,         ///< For first attempts, and after a minion failed.
     short_queue, ///< For calls that another owner refused: under overload a
-                 ///< full group only refuses them again.
-    idle,        ///< Slots to spare: for hedges, so that they never take a
-                 ///< slot from a first attempt.
+                 ///< full group would only refuse them again.
+    idle, ///< Free slots: for hedges, so that they never take a slot from a
+          ///< first attempt.
 };
 
-/// Where a call is sent. A value.
+/// The group and owner to which a call is sent. A value.
 struct route
 {
     std::string group;
@@ -49,76 +50,80 @@
 };
 
 /// Chooses a group of minions for each call at its entry: of two groups drawn
-/// at random, the one with the least expected wait (power of two choices), so
-/// that entries with the same late digests do not all choose the same group.
-/// Not thread-safe.
+/// at random, the one with the lower expected wait (power of two choices), so
+/// that entries with the same outdated digests do not all choose the same
+/// group. Not thread-safe.
 class router
 {
 public:
     router(router_settings const& settings, generator random);
 
-    /// A digest came. One older than what is known is ignored.
-    void heard(group_digest const& it, base::instant now);
+    /// Applies a digest. One older than the known digest of its group is
+    /// ignored.
+    void update_group(group_digest const& it, base::instant now);
 
-    /// The group has no owner any more, or another one from now on.
-    void forget(std::string const& group);
+    /// Removes a group that has lost its owner or has got a new one.
+    void remove_group(std::string const& group);
 
-    /// A group of the service that is not in `tried` and has this room, as
-    /// far as is known; empty where none is.
+    /// Chooses a group of the service that is not in `tried` and has this
+    /// capacity as far as is known; empty if there is none.
     [[nodiscard]] std::optional<route>
     choose(std::string const& service,
            std::vector<std::string> const& tried,
-           wanted_room room,
+           required_capacity room,
            base::instant now);
 
     /// Whether `choose` would find a group now.
-    [[nodiscard]] bool offers(std::string const& service,
-                              std::vector<std::string> const& tried,
-                              wanted_room room,
-                              base::instant now);
-
-    /// The group's owner refused a call for want of room: until its next
-    /// digest it counts as full.
-    void refused(std::string const& group);
-
-    /// When an idempotent call may be sent a second time elsewhere: after a
-    /// time that most calls of the service end in. Empty where it would not
-    /// help before the deadline.
+    [[nodiscard]] bool has_candidate(std::string const& service,
+                                     std::vector<std::string> const& tried,
+                                     required_capacity room,
+                                     base::instant now);
+
+    /// Records that the group's owner refused a call for lack of capacity: the
+    /// group counts as full until its next digest.
+    void mark_full(std::string const& group);
+
+    /// When to send a hedge for an idempotent call: after a time within which
+    /// most calls of the service end. Empty if a hedge would not help before
+    /// the deadline.
     [[nodiscard]] std::optional<base::instant>
     hedge_at(std::string const& group, call const& it, base::instant now) const;
 
     /// Whether any group of the service is known.
-    [[nodiscard]] bool knows(std::string const& service) const;
+    [[nodiscard]] bool knows_service(std::string const& service) const;
 
-    /// Drops digests that are too old.
+    /// Removes groups whose digest is too old.
     void expire(base::instant now);
 
 private:
     struct known_group
     {
         group_digest digest;
-        base::instant heard_at;
+        base::instant updated_at;
         bool full{false};
-        /// Calls of this entry that the digest cannot know of yet.
+        /// Calls sent by this entry since the digest, which it does not
+        /// include.
         std::int32_t sent_since{0};
     };
     using group_list = std::vector<known_group*>;
 
     [[nodiscard]] group_list candidates(std::string const& service,
                                         std::vector<std::string> const& tried,
-                                        wanted_room room,
+                                        required_capacity room,
                                         base::instant now);
-    [[nodiscard]] bool
-    has_room(known_group const& it, wanted_room room, base::instant now) const;
-    [[nodiscard]] std::optional<route> draw(group_list const& among,
-                                            base::instant now);
+    [[nodiscard]] bool has_capacity(known_group const& it,
+                                    required_capacity room,
+                                    base::instant now) const;
+    [[nodiscard]] std::optional<route> pick_of_two(group_list const& among,
+                                                   base::instant now);
 
     [[nodiscard]] double expected_wait_s(known_group const& it,
                                          base::instant now) const;
 
     router_settings m_settings;
     generator m_random;
-    /// By service, then by group; ordered for equal choices from equal seeds.
+    /// Keyed by service, then by group; ordered, so that equal seeds give equal
+    /// choices.
     std::map<std::string, std::map<std::string, known_group>> m_services;
     std::map<std::string, std::string> m_service_of;
 };
--- a/tests/calls/attempt_rules_test.cpp
+++ b/tests/calls/attempt_rules_test.cpp
@@ -11,7 +11,7 @@
 using calls::attempt_end;
 using calls::next_step;
 using calls::ran;
-using calls::resend_room;
+using calls::resend_allowance;
 using model::rerun;
 
 BOOST_AUTO_TEST_SUITE(attempt_rules)
@@ -19,18 +19,19 @@
 namespace
 {
 
-/// What follows an end, by the call's safety and whether an earlier attempt
-/// may have run; always with room for a resend.
+/// Expected step after an end, by the call's safety, whether an earlier attempt
+/// may have run, and whether a resend is allowed.
 struct end_case
 {
     char const* name;
     attempt_end end;
-    next_step once;            ///< At most once, nothing ran before.
-    next_step once_tainted;    ///< At most once, an earlier one may have run.
-    next_step again;           ///< Idempotent, nothing ran before.
-    next_step once_no_room;    ///< At most once, no room for a resend.
-    next_step again_no_room;   ///< Idempotent, no room for a resend.
-    next_step again_taint_end; ///< Idempotent, tainted, no room.
+    next_step once;          ///< At most once, no earlier attempt ran.
+    next_step once_tainted;  ///< At most once, an earlier attempt may have run.
+    next_step again;         ///< Idempotent, a resend is allowed.
+    next_step once_no_room;  ///< At most once, no resend allowed.
+    next_step again_no_room; ///< Idempotent, no resend allowed.
+    next_step again_taint_end; ///< Idempotent, an earlier attempt may have run,
+                               ///< no resend allowed.
 };
 
 std::ostream& operator<<(std::ostream& out, end_case const& it)
@@ -56,7 +57,7 @@
              s_resend, s_not_run, s_not_run, s_unknown},
     end_case{"connection_lost", attempt_end::connection_lost, s_unknown,
              s_unknown, s_resend, s_unknown, s_unknown, s_unknown},
-    end_case{"cut_short", attempt_end::cut_short, s_unknown, s_unknown,
+    end_case{"cut_short", attempt_end::answer_truncated, s_unknown, s_unknown,
              s_resend, s_unknown, s_unknown, s_unknown},
     end_case{"timed_out", attempt_end::timed_out, s_unknown, s_unknown,
              s_resend, s_unknown, s_unknown, s_unknown},
@@ -66,21 +67,21 @@
 
 } // namespace
 
-// A caller books a result once and finds two. The first attempt's connection
-// broke after the request had left; the entry took the silence for "not run"
-// and sent it again. Only a word of the owner or the minion, or a send that
-// never began, is certain.
+// Guards against a non-idempotent call running twice: the first attempt's
+// connection broke after the request had been sent, and the entry treated the
+// missing answer as "not run" and sent it again. Only a statement of the owner
+// or the minion, or a send that never began, is certain.
 BOOST_DATA_TEST_CASE(what_follows_each_end, s_ends, it)
 {
     using rules = calls::attempt_rules;
-    auto const after = [&](rerun safety, ran earlier, resend_room room)
+    auto const after = [&](rerun safety, ran earlier, resend_allowance room)
     {
-        return rules::after(it.end, safety, earlier, room);
+        return rules::decide(it.end, safety, earlier, room);
     };
     auto const once = rerun::at_most_once;
     auto const again = rerun::idempotent;
-    auto const left = resend_room::left;
-    auto const none = resend_room::none;
+    auto const left = resend_allowance::allowed;
+    auto const none = resend_allowance::exhausted;
     BOOST_CHECK(after(once, ran::not_run, left) == it.once);
     BOOST_CHECK(after(once, ran::unknown, left) == it.once_tainted);
     BOOST_CHECK(after(again, ran::not_run, left) == it.again);
@@ -93,9 +94,11 @@
 BOOST_AUTO_TEST_CASE(only_idempotent_calls_within_the_budget_are_hedged)
 {
     using rules = calls::attempt_rules;
-    BOOST_TEST(rules::may_hedge(rerun::idempotent, resend_room::left));
-    BOOST_TEST(!rules::may_hedge(rerun::idempotent, resend_room::none));
-    BOOST_TEST(!rules::may_hedge(rerun::at_most_once, resend_room::left));
+    BOOST_TEST(rules::may_hedge(rerun::idempotent, resend_allowance::allowed));
+    BOOST_TEST(
+        !rules::may_hedge(rerun::idempotent, resend_allowance::exhausted));
+    BOOST_TEST(
+        !rules::may_hedge(rerun::at_most_once, resend_allowance::allowed));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
