--- a/libraries/workload/validation.cpp
+++ b/libraries/workload/validation.cpp
@@ -45,7 +45,7 @@
 
 /// Takes away steps that wait for none of the others until none is left; what
 /// stays waits in a circle.
-bool has_circle(std::vector<step_spec> const& steps)
+bool has_cycle(std::vector<step_spec> const& steps)
 {
     std::vector<bool> taken(steps.size(), false);
     auto left = steps.size();
@@ -88,7 +88,7 @@
     {
         out.add({source, 0, "/repeats", "an interval below 0"});
     }
-    if (out.empty() && has_circle(it.steps))
+    if (out.empty() && has_cycle(it.steps))
     {
         out.add({source, 0, "/steps", "steps that wait for each other"});
     }
--- a/tests/workload/account_table_test.cpp
+++ b/tests/workload/account_table_test.cpp
@@ -43,7 +43,7 @@
     {"bytes that are no text", "\xff\xfe", ""},
 };
 
-struct wrong_case
+struct invalid_case
 {
     char const* name;
     workload::account_spec second;
@@ -51,7 +51,7 @@
     std::string found;
 };
 
-std::ostream& operator<<(std::ostream& to, wrong_case const& it)
+std::ostream& operator<<(std::ostream& to, invalid_case const& it)
 {
     return to << it.name;
 }
@@ -61,7 +61,7 @@
     return {"second", {"secret"}, 1, cap};
 }
 
-wrong_case const wrongs[] = {
+invalid_case const invalid_cases[] = {
     {"nothing", account("second", {"secret"}), ""},
     {"a key of another account", account("second", {"x", "k1"}),
      "/accounts/second/keys/1"},
@@ -88,7 +88,7 @@
 }
 
 BOOST_DATA_TEST_CASE(what_is_wrong_is_found_with_its_place,
-                     boost::unit_test::data::make(wrongs))
+                     boost::unit_test::data::make(invalid_cases))
 {
     auto const found = workload::check(
         workload::account_table{{account("first", {"k1"}), sample.second}});
