--- a/libraries/placement/contract_account.cpp
+++ b/libraries/placement/contract_account.cpp
@@ -12,15 +12,15 @@
 namespace
 {
 
-constexpr double s_retry_share = 0.2;
-constexpr double s_most_retries = 50;
-constexpr double s_least_weight = 1e-6;
+constexpr double s_tokens_per_first_start = 0.2;
+constexpr double s_max_retry_tokens = 50;
+constexpr double s_min_weight = 1e-6;
 
 } // namespace
 
 contract_account::contract_account(model::contract it)
     : m_contract{std::move(it)}
-    , m_retry_tokens{s_most_retries}
+    , m_retry_tokens{s_max_retry_tokens}
 {
 }
 
@@ -80,12 +80,13 @@
 double contract_account::weighted_share(model::resources const& cell) const
 {
     return dominant_share(m_used, cell) /
-           std::max(m_contract.weight, s_least_weight);
+           std::max(m_contract.weight, s_min_weight);
 }
 
 void contract_account::note_first_start()
 {
-    m_retry_tokens = std::min(m_retry_tokens + s_retry_share, s_most_retries);
+    m_retry_tokens =
+        std::min(m_retry_tokens + s_tokens_per_first_start, s_max_retry_tokens);
 }
 
 bool contract_account::take_retry()
--- a/libraries/placement/estimator.cpp
+++ b/libraries/placement/estimator.cpp
@@ -18,9 +18,9 @@
 constexpr double s_unknown_factor = 1.6;
 constexpr double s_run_quantile = 0.9;
 // Room above the largest peak seen, narrower the more were seen.
-constexpr double s_least_margin = 0.05;
+constexpr double s_min_margin = 0.05;
 constexpr double s_first_margin = 0.5;
-constexpr std::size_t s_most_names = 50'000;
+constexpr std::size_t s_max_names = 50'000;
 
 float ratio(double seen, double declared)
 {
@@ -50,7 +50,7 @@
         // It ended before its use was ever measured.
         return false;
     }
-    if (m_histories.size() >= s_most_names)
+    if (m_histories.size() >= s_max_names)
     {
         m_histories.clear();
     }
@@ -124,7 +124,7 @@
         auto const& it = found->second;
         auto const n =
             static_cast<double>(std::min<std::size_t>(it.count, s_kept));
-        margin = 1 + std::max(s_least_margin, s_first_margin / n);
+        margin = 1 + std::max(s_min_margin, s_first_margin / n);
         cores = it.largest_cores;
         memory = it.largest_memory;
         result.run_s = request.declared_run_s * it.long_run;
--- a/libraries/placement/failure_history.cpp
+++ b/libraries/placement/failure_history.cpp
@@ -9,10 +9,10 @@
 {
 
 // Counts are halved at this many, so that the newest weigh most.
-constexpr std::int32_t s_most_ended = 64;
+constexpr std::int32_t s_max_ended = 64;
 // Names beyond these are forgotten all at once: memory stays bounded, and what
 // is lost is learnt again within a few attempts.
-constexpr std::size_t s_most_names = 4096;
+constexpr std::size_t s_max_names = 4096;
 
 } // namespace
 
@@ -20,7 +20,7 @@
                           std::string const& worker,
                           bool failed)
 {
-    if (m_jobs.size() >= s_most_names && !m_jobs.contains(job_name))
+    if (m_jobs.size() >= s_max_names && !m_jobs.contains(job_name))
     {
         m_jobs.clear();
     }
@@ -30,7 +30,7 @@
         it->ended += 1;
         it->failed += failed ? 1 : 0;
     }
-    if (job.all.ended < s_most_ended)
+    if (job.all.ended < s_max_ended)
     {
         return;
     }
@@ -47,8 +47,8 @@
                                std::string const& worker,
                                double cell_rate) const
 {
-    constexpr double before_ended = 2;
-    constexpr double before_failed = 1;
+    constexpr double prior_ended = 2;
+    constexpr double prior_failed = 1;
     counts elsewhere;
     if (auto const job = m_jobs.find(job_name); job != m_jobs.end())
     {
@@ -61,7 +61,7 @@
         }
     }
     auto const rate =
-        (elsewhere.failed + before_failed) / (elsewhere.ended + before_ended);
+        (elsewhere.failed + prior_failed) / (elsewhere.ended + prior_ended);
     return std::max(cell_rate, rate);
 }
 
--- a/libraries/placement/group_ledger.cpp
+++ b/libraries/placement/group_ledger.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::int32_t s_most_ended = 1024;
+constexpr std::int32_t s_max_ended = 1024;
 
 } // namespace
 
@@ -148,7 +148,7 @@
         m_history.add(name, ended.worker, failed);
         m_ended += 1;
         m_failed += failed ? 1 : 0;
-        if (m_ended >= s_most_ended)
+        if (m_ended >= s_max_ended)
         {
             m_ended /= 2;
             m_failed /= 2;
--- a/libraries/placement/group_ledger_hold.cpp
+++ b/libraries/placement/group_ledger_hold.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-constexpr base::duration s_claim_span{10'000'000};
+constexpr base::duration s_claim_duration{10'000'000};
 
-model::resources at_least_nothing(model::resources const& it)
+model::resources not_negative(model::resources const& it)
 {
     return model::largest_of(it, {});
 }
@@ -32,7 +32,7 @@
     {
         left = left - it.claimed->need;
     }
-    return at_least_nothing(left);
+    return not_negative(left);
 }
 
 bool group_ledger::kept_for_other(hold_request const& request,
@@ -152,7 +152,7 @@
     auto& it = found->second;
     auto& on = m_workers.at(it.worker);
     auto const others = on.charged - it.charge();
-    auto const room = at_least_nothing(on.listed.capacity - others);
+    auto const room = not_negative(on.listed.capacity - others);
     auto const before = it.request.need;
     // What it has already it keeps, even on a worker that is over its capacity.
     it.request.need = {
@@ -223,7 +223,8 @@
     {
         return {{hold_state::full, {}}, {}};
     }
-    best->claimed = claim{request.attempt, request.need, now + s_claim_span};
+    best->claimed =
+        claim{request.attempt, request.need, now + s_claim_duration};
     hold_result result{{hold_state::preempting, {}}, {}};
     for (auto const& it : fewest)
     {
--- a/libraries/placement/group_table.cpp
+++ b/libraries/placement/group_table.cpp
@@ -23,7 +23,8 @@
             std::min(a.accelerators, b.accelerators)};
 }
 
-std::int64_t times(model::resources const& room, model::resources const& need)
+std::int64_t count_fitting(model::resources const& room,
+                           model::resources const& need)
 {
     auto n = std::numeric_limits<std::int32_t>::max() * std::int64_t{1};
     auto const limit = [&n](std::int64_t have, std::int64_t want)
@@ -180,7 +181,7 @@
     {
         return 0;
     }
-    auto const n = times(m_rooms[at(index)].free, need);
+    auto const n = count_fitting(m_rooms[at(index)].free, need);
     return static_cast<std::int32_t>(std::min<std::int64_t>(n, 1'000'000));
 }
 
@@ -189,7 +190,7 @@
     std::int64_t all = 0;
     for (auto const& it : m_groups)
     {
-        all += times(it.seen.largest_worker, need) * it.seen.workers;
+        all += count_fitting(it.seen.largest_worker, need) * it.seen.workers;
     }
     return all;
 }
--- a/libraries/placement/job_queue.cpp
+++ b/libraries/placement/job_queue.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-constexpr double s_full_retry_s = 5;
-constexpr std::size_t s_sweep_classes_at = 1024;
+constexpr double s_retry_after_s = 5;
+constexpr std::size_t s_min_classes_to_sweep = 1024;
 
 bool may_run(task_phase it)
 {
@@ -107,7 +107,7 @@
     {
         return base::fail(failure_code::refused,
                           "the contract has as many jobs as it may have",
-                          s_full_retry_s);
+                          s_retry_after_s);
     }
     return base::done{};
 }
@@ -199,7 +199,7 @@
                      std::to_string(it.declared.memory_mb) + '/' +
                      std::to_string(it.declared.accelerators);
     auto& classes = account_of(job).classes;
-    if (classes.size() >= s_sweep_classes_at)
+    if (classes.size() >= s_min_classes_to_sweep)
     {
         std::erase_if(classes,
                       [](auto const& each) { return each.second.expired(); });
--- a/libraries/placement/job_queue_decide.cpp
+++ b/libraries/placement/job_queue_decide.cpp
@@ -11,17 +11,17 @@
 {
 
 /// Normal work gets a turn after so many urgent decisions in a row.
-constexpr std::int32_t s_most_urgent_in_row = 16;
+constexpr std::int32_t s_max_consecutive_urgent = 16;
 /// Dead jobs are swept out when there are this many and they are the half.
-constexpr std::size_t s_sweep_at = 64;
+constexpr std::size_t s_min_finished_to_sweep = 64;
 /// A job with a deadline goes ahead this long before its latest start.
 constexpr double s_deadline_margin_s = 60;
 /// For contracts that prefer short waiting, a job of one second counts as if it
 /// had come this many seconds earlier than one of two seconds.
-constexpr double s_short_first = 4;
+constexpr double s_run_time_weight = 4;
 /// For contracts that prefer packing, the largest task counts as if it had come
 /// this many seconds earlier than the smallest: small ones fill what is left.
-constexpr double s_large_first_s = 60;
+constexpr double s_size_weight_s = 60;
 
 } // namespace
 
@@ -86,7 +86,7 @@
     };
     while (decided() < most && !(urgent.empty() && normal.empty()))
     {
-        auto const yields = m_urgent_in_row >= s_most_urgent_in_row;
+        auto const yields = m_urgent_in_row >= s_max_consecutive_urgent;
         if (!urgent.empty() && !(yields && !normal.empty()))
         {
             if (decide_one(urgent, true, now, actions))
@@ -141,7 +141,7 @@
         front->queued = false;
         it.jobs.pop_front();
     }
-    if (it.dead < s_sweep_at || it.dead * 2 < it.jobs.size())
+    if (it.dead < s_min_finished_to_sweep || it.dead * 2 < it.jobs.size())
     {
         return;
     }
@@ -189,11 +189,11 @@
     auto key = base::seconds_of(job.accepted_at.time_since_epoch());
     if (account.contract().preferred == model::preference::waiting)
     {
-        key += s_short_first * it.run_s;
+        key += s_run_time_weight * it.run_s;
     }
     else
     {
-        key -= s_large_first_s *
+        key -= s_size_weight_s *
                dominant_share(it.need, m_groups.largest_worker());
     }
     if (job.request.deadline_s > 0)
--- a/libraries/placement/job_queue_events.cpp
+++ b/libraries/placement/job_queue_events.cpp
@@ -10,17 +10,17 @@
 namespace
 {
 
-constexpr std::int16_t s_most_failures = 5;
-constexpr std::size_t s_distinct_workers = 3;
-constexpr std::int16_t s_far_too_many_failures = 12;
+constexpr std::int16_t s_max_failures = 5;
+constexpr std::size_t s_min_failed_workers = 3;
+constexpr std::int16_t s_max_failures_on_any_worker = 12;
 /// So many workers lost under one task in a row make it the likely cause; one
 /// that had run for this long lost its worker for another reason.
-constexpr std::int16_t s_most_lapses = 5;
+constexpr std::int16_t s_max_consecutive_losses = 5;
 constexpr base::duration s_harmless_run{60'000'000};
 constexpr double s_first_back_off_s = 1;
-constexpr double s_longest_back_off_s = 300;
-constexpr std::int32_t s_most_doublings = 9;
-constexpr double s_no_budget_s = 10;
+constexpr double s_max_back_off_s = 300;
+constexpr std::int32_t s_max_doublings = 9;
+constexpr double s_no_token_delay_s = 10;
 constexpr base::duration s_refused_pause{20'000};
 constexpr base::duration s_preempting_pause{100'000};
 
@@ -278,10 +278,10 @@
                      "task " + std::to_string(index) +
                          " failed: " + end.detail);
     }
-    auto const everywhere = it.failures >= s_most_failures &&
-                            job->failed_on.size() >= s_distinct_workers;
+    auto const everywhere = it.failures >= s_max_failures &&
+                            job->failed_on.size() >= s_min_failed_workers;
     auto const service = job->request.kind == model::job_kind::service;
-    if (!service && (everywhere || it.failures >= s_far_too_many_failures))
+    if (!service && (everywhere || it.failures >= s_max_failures_on_any_worker))
     {
         return close(*job, model::job_state::failed,
                      "task " + std::to_string(index) + " failed " +
@@ -289,12 +289,12 @@
                          std::to_string(job->failed_on.size()) +
                          " workers: " + end.detail);
     }
-    auto const doublings = std::min(job->failures_in_row - 1, s_most_doublings);
+    auto const doublings = std::min(job->failures_in_row - 1, s_max_doublings);
     auto longest =
-        std::min(s_first_back_off_s * (1 << doublings), s_longest_back_off_s);
+        std::min(s_first_back_off_s * (1 << doublings), s_max_back_off_s);
     if (!account_of(*job).take_retry())
     {
-        longest += s_no_budget_s;
+        longest += s_no_token_delay_s;
     }
     boost::random::uniform_real_distribution<double> spread{longest / 2,
                                                             longest};
@@ -312,7 +312,7 @@
     it.lapses = now - it.since < s_harmless_run
                     ? static_cast<std::int16_t>(it.lapses + 1)
                     : std::int16_t{0};
-    if (it.lapses >= s_most_lapses)
+    if (it.lapses >= s_max_consecutive_losses)
     {
         return close(*job, model::job_state::failed,
                      "task " + std::to_string(index) + " lost " +
--- a/libraries/placement/job_queue_gang.cpp
+++ b/libraries/placement/job_queue_gang.cpp
@@ -11,8 +11,8 @@
 {
 
 constexpr double s_first_back_off_s = 0.05;
-constexpr double s_longest_back_off_s = 5;
-constexpr std::int32_t s_most_doublings = 7;
+constexpr double s_max_back_off_s = 5;
+constexpr std::int32_t s_max_doublings = 7;
 
 } // namespace
 
@@ -149,9 +149,9 @@
     job->ordered = 0;
     job->held = 0;
     job->rounds_failed += 1;
-    auto const doublings = std::min(job->rounds_failed, s_most_doublings);
+    auto const doublings = std::min(job->rounds_failed, s_max_doublings);
     auto const longest =
-        std::min(s_first_back_off_s * (1 << doublings), s_longest_back_off_s);
+        std::min(s_first_back_off_s * (1 << doublings), s_max_back_off_s);
     boost::random::uniform_real_distribution<double> spread{longest / 2,
                                                             longest};
     job->not_before = now + base::from_seconds(spread(m_random));
--- a/libraries/placement/job_queue_reserve.cpp
+++ b/libraries/placement/job_queue_reserve.cpp
@@ -10,16 +10,16 @@
 {
 
 /// How long a job is blocked before room is kept for it.
-constexpr base::duration s_patience_waiting{1'000'000};
-constexpr base::duration s_patience_packing{15'000'000};
+constexpr base::duration s_delay_if_waiting_preferred{1'000'000};
+constexpr base::duration s_delay_if_packing_preferred{15'000'000};
 /// Reservations are short, so that one whose owner is gone ends soon, and are
 /// renewed while their job waits.
-constexpr base::duration s_longest_reservation{30'000'000};
+constexpr base::duration s_reservation_time{30'000'000};
 constexpr base::duration s_renewal_before{15'000'000};
 /// The share of a worker from which on a task is large.
 constexpr double s_large_task = 0.25;
 constexpr double s_first_step_s = 1;
-constexpr double s_longest_step_s = 4096;
+constexpr double s_max_step_s = 4096;
 
 } // namespace
 
@@ -50,7 +50,8 @@
     }
     auto const packing =
         account_of(*job).contract().preferred == model::preference::packing;
-    auto const patience = packing ? s_patience_packing : s_patience_waiting;
+    auto const patience =
+        packing ? s_delay_if_packing_preferred : s_delay_if_waiting_preferred;
     if (now - job->blocked_since < patience)
     {
         return;
@@ -95,7 +96,7 @@
         }
     }
     auto const groups = static_cast<std::size_t>(m_groups.size());
-    for (auto step = s_first_step_s; step <= s_longest_step_s; step *= 2)
+    for (auto step = s_first_step_s; step <= s_max_step_s; step *= 2)
     {
         auto const at = now + base::from_seconds(step);
         std::vector<model::resources> free(groups);
@@ -135,7 +136,7 @@
         std::sort(offers.begin(), offers.end(),
                   [](auto const& a, auto const& b)
                   { return a.slots > b.slots; });
-        m_reservation = reservation{job.id, now + s_longest_reservation};
+        m_reservation = reservation{job.id, now + s_reservation_time};
         std::int64_t kept = 0;
         for (auto const& it : offers)
         {
--- a/libraries/placement/overuse.cpp
+++ b/libraries/placement/overuse.cpp
@@ -11,7 +11,7 @@
 
 // Reports lag, so the worker counts as full a little before it is.
 constexpr std::int64_t s_full_percent = 95;
-constexpr double s_least_share = 0.1;
+constexpr double s_min_share = 0.1;
 
 bool over_plan(task_use const& it)
 {
@@ -28,12 +28,12 @@
     }
     auto const share = static_cast<double>(it.planned.millicores) /
                        static_cast<double>(it.used.millicores);
-    return std::max(share, s_least_share);
+    return std::max(share, s_min_share);
 }
 
 /// Cheapest first: normal before urgent, what may be run again before what may
 /// not, what outgrew its plan before what kept to it, the youngest first.
-bool cheaper(task_use const& a, task_use const& b)
+bool cheaper_to_checkpoint(task_use const& a, task_use const& b)
 {
     auto const cost = [](task_use const& it)
     {
@@ -83,7 +83,7 @@
     }
     // Processors are shared by throttling alone; memory can only be freed.
     auto memory = used.memory_mb;
-    std::sort(tasks.begin(), tasks.end(), cheaper);
+    std::sort(tasks.begin(), tasks.end(), cheaper_to_checkpoint);
     for (auto const& it : tasks)
     {
         if (memory <= full.memory_mb)
--- a/libraries/placement/worker_health.cpp
+++ b/libraries/placement/worker_health.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-constexpr double s_least_chance = 1e-4;
-constexpr double s_least_likely = 0.02;
-constexpr double s_most_likely = 0.98;
-constexpr base::duration s_first_span{30'000'000};
-constexpr base::duration s_longest_span{600'000'000};
+constexpr double s_min_probability = 1e-4;
+constexpr double s_min_likely = 0.02;
+constexpr double s_max_likely = 0.98;
+constexpr base::duration s_first_quarantine{30'000'000};
+constexpr base::duration s_max_quarantine{600'000'000};
 
 } // namespace
 
@@ -31,8 +31,8 @@
         quarantine(now);
         return;
     }
-    m_chance *= std::clamp(likely, s_least_likely, s_most_likely);
-    if (m_state == health::good && m_chance < s_least_chance)
+    m_chance *= std::clamp(likely, s_min_likely, s_max_likely);
+    if (m_state == health::good && m_chance < s_min_probability)
     {
         quarantine(now);
     }
@@ -60,8 +60,8 @@
 void worker_health::quarantine(base::instant now)
 {
     m_state = health::quarantined;
-    m_span = m_span.count() == 0 ? s_first_span
-                                 : std::min(m_span * 2, s_longest_span);
+    m_span = m_span.count() == 0 ? s_first_quarantine
+                                 : std::min(m_span * 2, s_max_quarantine);
     m_until = now + m_span;
     m_chance = 1;
 }
--- a/tests/placement/fake_cell.cpp
+++ b/tests/placement/fake_cell.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr base::duration s_hold_span{2'000'000};
+constexpr base::duration s_hold_time{2'000'000};
 
 } // namespace
 
@@ -110,7 +110,7 @@
 {
     auto& ledger = ledgers.at(order.group);
     auto const attempt = order.request.attempt;
-    auto const found = ledger.hold(order.request, now + s_hold_span, now);
+    auto const found = ledger.hold(order.request, now + s_hold_time, now);
     for (auto const& it : found.actions)
     {
         checkpoints.push_back(it.attempt);
--- a/tests/placement/ledger_test.cpp
+++ b/tests/placement/ledger_test.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-constexpr base::duration s_span{2'000'000};
+constexpr base::duration s_hold_time{2'000'000};
 
 base::instant at(double seconds)
 {
@@ -52,7 +52,7 @@
                   placement::hold_request const& request,
                   base::instant now)
 {
-    auto const found = ledger.hold(request, now + s_span, now);
+    auto const found = ledger.hold(request, now + s_hold_time, now);
     if (found.answer.state != hold_state::held)
     {
         return {};
--- a/tests/placement/queue_test.cpp
+++ b/tests/placement/queue_test.cpp
@@ -54,7 +54,7 @@
 namespace
 {
 
-struct impossible_case
+struct rejected_case
 {
     char const* says;
     model::job_kind kind;
@@ -62,31 +62,31 @@
     model::resources declared;
 };
 
-std::ostream& operator<<(std::ostream& out, impossible_case const& it)
+std::ostream& operator<<(std::ostream& out, rejected_case const& it)
 {
     return out << it.says;
 }
 
-std::array const s_impossible{
-    impossible_case{
+std::array const s_rejected{
+    rejected_case{
         "no worker is large enough", model::job_kind::batch, 1, {17'000, 1, 0}},
-    impossible_case{
+    rejected_case{
         "no worker is large enough", model::job_kind::batch, 1, {1, 1, 1}},
-    impossible_case{
+    rejected_case{
         "quota is too small", model::job_kind::service, 10, {11'000, 1, 0}},
-    impossible_case{"tasks at once", model::job_kind::gang, 51, {1, 1, 0}},
-    impossible_case{"all workers together are too small",
-                    model::job_kind::gang,
-                    9,
-                    {9'000, 1, 0}},
-    impossible_case{"needs a task", model::job_kind::batch, 0, {1, 1, 0}},
+    rejected_case{"tasks at once", model::job_kind::gang, 51, {1, 1, 0}},
+    rejected_case{"all workers together are too small",
+                  model::job_kind::gang,
+                  9,
+                  {9'000, 1, 0}},
+    rejected_case{"needs a task", model::job_kind::batch, 0, {1, 1, 0}},
 };
 
 } // namespace
 
 // A secretary submits a job that no worker could ever run. Accepted, it would
 // wait for ever and look like a slow day; it is refused with the reason.
-BOOST_DATA_TEST_CASE(what_can_never_run_is_refused, s_impossible, it)
+BOOST_DATA_TEST_CASE(what_can_never_run_is_refused, s_rejected, it)
 {
     auto cell = cell_of(8);
     auto narrow = wide_contract("narrow");
