--- a/libraries/workload/account_table.cpp
+++ b/libraries/workload/account_table.cpp
@@ -18,11 +18,11 @@
 {
     if (it.weight < 0)
     {
-        found.add({source, 0, place + "/weight", "below 0"});
+        found.add({source, 0, place + "/weight", "must not be negative"});
     }
     if (it.cap.cpu_millis < 0 || it.cap.memory_mb < 0 || it.cap.gpus < 0)
     {
-        found.add({source, 0, place + "/cap", "below 0"});
+        found.add({source, 0, place + "/cap", "must not be negative"});
     }
 }
 
@@ -57,14 +57,14 @@
         check_account(account, place, out);
         if (!names.insert(account.name).second)
         {
-            out.add({source, 0, place, "a name that another account has"});
+            out.add({source, 0, place, "duplicate account name"});
         }
         for (std::size_t n = 0; n < account.keys.size(); ++n)
         {
             if (!keys.insert(account.keys[n]).second)
             {
                 out.add({source, 0, place + "/keys/" + std::to_string(n),
-                         "a key that was named before"});
+                         "duplicate key"});
             }
         }
     }
--- a/libraries/workload/job_id.cpp
+++ b/libraries/workload/job_id.cpp
@@ -25,7 +25,7 @@
     if (text.size() != id_digits || !std::ranges::all_of(text, lower_hex))
     {
         return base::fail(base::failure_code::invalid,
-                          "a job's id has 16 hex digits");
+                          "a job id must have 16 lower-case hex digits");
     }
     job_id out;
     std::from_chars(text.data(), text.data() + text.size(), out.number,
--- a/libraries/workload/task_name.cpp
+++ b/libraries/workload/task_name.cpp
@@ -14,7 +14,7 @@
 base::failure malformed(std::string_view text)
 {
     return {base::failure_code::invalid,
-            "not a task's name: " + std::string{text}, 0};
+            "invalid task name: " + std::string{text}, 0};
 }
 
 } // namespace
--- a/libraries/workload/validation.cpp
+++ b/libraries/workload/validation.cpp
@@ -24,21 +24,21 @@
     };
     if (it.tasks == 0 || it.tasks > most_tasks)
     {
-        wrong("/tasks", "from 1 to 10000 tasks");
+        wrong("/tasks", "must have 1 to 10000 tasks");
     }
     if (it.need.cpu_millis < 0 || it.need.memory_mb < 0 || it.need.gpus < 0)
     {
-        wrong("", "a size below 0");
+        wrong("", "resources must not be negative");
     }
     if (it.estimate_ms < 0)
     {
-        wrong("/estimate", "below 0");
+        wrong("/estimate", "must not be negative");
     }
     for (auto const before : it.depends_on)
     {
         if (before >= steps)
         {
-            wrong("/after", "no such step");
+            wrong("/after", "refers to a step that does not exist");
         }
     }
 }
@@ -78,7 +78,7 @@
     }
     if (it.steps.empty())
     {
-        out.add({source, 0, "/steps", "at least one step"});
+        out.add({source, 0, "/steps", "must have at least one step"});
     }
     for (std::size_t n = 0; n < it.steps.size(); ++n)
     {
@@ -86,11 +86,11 @@
     }
     if (it.repeats.count != 0 && it.repeats.interval_ms < 0)
     {
-        out.add({source, 0, "/repeats", "an interval below 0"});
+        out.add({source, 0, "/repeats", "interval must not be negative"});
     }
     if (out.empty() && has_cycle(it.steps))
     {
-        out.add({source, 0, "/steps", "steps that wait for each other"});
+        out.add({source, 0, "/steps", "steps depend on each other in a cycle"});
     }
     return out;
 }
