--- a/libraries/placement/job_queue.cpp
+++ b/libraries/placement/job_queue.cpp
@@ -64,7 +64,8 @@
     auto const& contract = it.contract();
     if (request.tasks < 1)
     {
-        return base::fail(failure_code::invalid, "a job needs a task");
+        return base::fail(failure_code::invalid,
+                          "a job needs at least one task");
     }
     auto const& largest = m_groups.largest_worker();
     auto const one = m_estimator.of(request, largest);
@@ -97,16 +98,16 @@
     if (known && request.kind == model::job_kind::gang &&
         m_groups.slots_when_empty(need) < together)
     {
-        return base::fail(
-            failure_code::invalid,
-            "all workers together are too small: they would hold " +
-                std::to_string(m_groups.slots_when_empty(need)) +
-                " such tasks, the gang has " + std::to_string(together));
+        return base::fail(failure_code::invalid,
+                          "all workers together are too small: they can run " +
+                              std::to_string(m_groups.slots_when_empty(need)) +
+                              " such tasks at once, the gang has " +
+                              std::to_string(together));
     }
     if (it.jobs >= contract.jobs_at_once)
     {
         return base::fail(failure_code::refused,
-                          "the contract has as many jobs as it may have",
+                          "the contract has reached its maximum number of jobs",
                           s_retry_after_s);
     }
     return base::done{};
--- a/libraries/placement/job_queue_events.cpp
+++ b/libraries/placement/job_queue_events.cpp
@@ -226,7 +226,8 @@
         if (once)
         {
             return close(*job, model::job_state::failed,
-                         "stopped before its end, and may not run again");
+                         "stopped before it ended; an at-most-once job is not "
+                         "run again");
         }
         return run_again(job, index, now, now);
     case model::task_end::lapsed:
@@ -241,7 +242,7 @@
     it->phase = task_phase::done;
     return close(*job, model::job_state::outcome_unknown,
                  "task " + std::to_string(index) +
-                     " may have run, and may not run again");
+                     " may have run; an at-most-once task is not run again");
 }
 
 queue_actions job_queue::task_done(job_pointer const& job,
@@ -316,7 +317,8 @@
     {
         return close(*job, model::job_state::failed,
                      "task " + std::to_string(index) + " lost " +
-                         std::to_string(it.lapses) + " workers in a row");
+                         std::to_string(it.lapses) +
+                         " workers in a row; it may be crashing them");
     }
     return run_again(job, index, now, now);
 }
--- a/tests/placement/queue_test.cpp
+++ b/tests/placement/queue_test.cpp
@@ -79,7 +79,8 @@
                   model::job_kind::gang,
                   9,
                   {9'000, 1, 0}},
-    rejected_case{"needs a task", model::job_kind::batch, 0, {1, 1, 0}},
+    rejected_case{
+        "needs at least one task", model::job_kind::batch, 0, {1, 1, 0}},
 };
 
 } // namespace
