--- a/libraries/placement/contract_account.hpp
+++ b/libraries/placement/contract_account.hpp
@@ -13,14 +13,15 @@
 namespace berylhill::placement
 {
 
-/// What one contract uses and has waiting. Not thread-safe.
+/// Resource use and waiting work of one contract. Not thread-safe.
 class contract_account
 {
 public:
     explicit contract_account(model::contract it);
     contract_account(contract_account const&) = delete;
     contract_account& operator=(contract_account const&) = delete;
-    /// Waiting jobs and their class own each other; this ends it.
+    /// Waiting jobs and their class hold shared pointers to each other; this
+    /// breaks the cycle.
     ~contract_account();
 
     [[nodiscard]] model::contract const& contract() const noexcept
@@ -30,18 +31,20 @@
 
     void set_contract(model::contract it);
 
-    /// Whether one more task of this size is within the contract now.
+    /// Whether `tasks` more tasks of size `need` stay within the contract's
+    /// quota and its limit of tasks.
     [[nodiscard]] bool allows(model::resources const& need,
                               std::int32_t tasks) const;
-    /// Whether it may go ahead of normal work.
+    /// Whether `tasks` more tasks of size `need` stay within the urgent quota,
+    /// so that they may be placed before normal work.
     [[nodiscard]] bool allows_urgent(model::resources const& need,
                                      std::int32_t tasks) const;
 
     void charge(task_record& it);
     void refund(task_record& it);
 
-    /// The dominant share of what the cell has, over the weight: the contract
-    /// with the least is served first.
+    /// The contract's dominant share of the capacity `cell`, divided by its
+    /// weight. The contract with the smallest value is served first.
     [[nodiscard]] double weighted_share(model::resources const& cell) const;
 
     [[nodiscard]] model::resources const& used() const noexcept
@@ -54,19 +57,19 @@
         return m_tasks;
     }
 
-    /// A token is gained for each share of first starts, and a retry takes
-    /// one. Guards against retry storms: they show as failing tasks that take
-    /// the place of work which would succeed; the guard holds because retries
-    /// stay a fixed share of first starts.
+    /// Retry budget: each first start adds a fixed fraction of a token, and a
+    /// retry takes a whole one. Prevents retry storms, in which failing tasks
+    /// displace work that would succeed, because retries stay a fixed share of
+    /// first starts.
     void note_first_start();
     [[nodiscard]] bool take_retry();
 
     std::int64_t jobs{0};
-    /// Classes with jobs that wait.
+    /// Classes with waiting jobs.
     std::vector<std::shared_ptr<work_class>> active;
-    /// How many of them are urgent.
+    /// The number of urgent classes in `active`.
     std::int32_t active_urgent{0};
-    /// Every class that some job is of, by its key.
+    /// Every class that has a job, by its key.
     std::unordered_map<std::string, std::weak_ptr<work_class>> classes;
 
 private:
--- a/libraries/placement/estimator.cpp
+++ b/libraries/placement/estimator.cpp
@@ -12,12 +12,13 @@
 namespace
 {
 
-// Before any job of a name has ended it is planned so that a declaration which
-// is too small by half does no harm. Once more is known, what runs is planned
-// again and gives the rest back.
+// Factor on the declared resources while no job of the name has ended, so that
+// a declaration which is too small by half does no harm. Running tasks are
+// planned again once there is history, which frees the excess.
 constexpr double s_unknown_factor = 1.6;
 constexpr double s_run_quantile = 0.9;
-// Room above the largest peak seen, narrower the more were seen.
+// Safety margin above the largest observed peak: s_first_margin / n for n jobs
+// in the history, at least s_min_margin.
 constexpr double s_min_margin = 0.05;
 constexpr double s_first_margin = 0.5;
 constexpr std::size_t s_max_names = 50'000;
@@ -47,7 +48,7 @@
 {
     if (peak.empty())
     {
-        // It ended before its use was ever measured.
+        // The task ended before its use was measured.
         return false;
     }
     if (m_histories.size() >= s_max_names)
--- a/libraries/placement/estimator.hpp
+++ b/libraries/placement/estimator.hpp
@@ -12,41 +12,43 @@
 namespace berylhill::placement
 {
 
-/// What is expected of one task.
+/// The expected resource use and run time of one task.
 struct estimate
 {
-    /// What to plan for it; at most what the largest worker holds.
+    /// What to plan for the task: the expected peak use plus a safety margin,
+    /// at most the capacity of the largest worker.
     model::resources peak;
-    /// The same without the room above what was seen, or was declared.
+    /// The expected peak use without the safety margin.
     model::resources least;
-    /// A run time that few will exceed; the declaration before anything else
-    /// is known.
+    /// The 90th percentile of the run time in seconds; the declared run time
+    /// while no task of this name has ended.
     double run_s{0};
-    /// 0 when nothing is known, towards 1 with each task that ended.
+    /// 0 without history; approaches 1 with each job that has ended tasks.
     double confidence{0};
 
     friend bool operator==(estimate const&, estimate const&) = default;
 };
 
-/// Learns peak use and run time by contract and job name, as ratios to what was
-/// declared, from the ends of tasks. Not thread-safe.
+/// Estimates the peak use and run time of tasks, by contract and job name, from
+/// the tasks that ended. Keeps ratios to the declared values. Not thread-safe.
 class estimator
 {
 public:
-    /// One task has ended well; `peak` and `run_s` are what it took.
-    /// Tasks of one job are alike, so a job counts once, by its largest task.
-    /// True when so much is new that running tasks should be planned again.
+    /// Records a task that succeeded, with its peak use and its run time in
+    /// seconds. Tasks of one job are alike, so a job counts once, by its
+    /// largest task. True when the history has grown so much (the number of
+    /// jobs reached a power of two) that running tasks should be planned again.
     bool learn(std::string const& job,
                model::job_request const& request,
                model::resources const& peak,
                double run_s);
 
-    /// A task that still runs uses this much, which raises the estimate where
-    /// it is more than was expected.
+    /// Records the present use of a running task. Raises the estimate where the
+    /// use exceeds the largest peak in the history.
     void learn_use(model::job_request const& request,
                    model::resources const& used);
 
-    /// Precondition: `largest` is what the largest worker holds.
+    /// Precondition: `largest` is the capacity of the largest worker.
     [[nodiscard]] estimate of(model::job_request const& request,
                               model::resources const& largest) const;
 
--- a/libraries/placement/failure_history.cpp
+++ b/libraries/placement/failure_history.cpp
@@ -8,10 +8,11 @@
 namespace
 {
 
-// Counts are halved at this many, so that the newest weigh most.
+// Counts are halved at this many ended attempts, so that recent attempts weigh
+// most.
 constexpr std::int32_t s_max_ended = 64;
-// Names beyond these are forgotten all at once: memory stays bounded, and what
-// is lost is learnt again within a few attempts.
+// At this many names the history is cleared, which bounds its memory. The
+// counts recover within a few attempts.
 constexpr std::size_t s_max_names = 4096;
 
 } // namespace
--- a/libraries/placement/failure_history.hpp
+++ b/libraries/placement/failure_history.hpp
@@ -7,16 +7,17 @@
 namespace berylhill::placement
 {
 
-/// How often each job's attempts failed, and on which workers: tells a job that
-/// fails everywhere from a worker that fails everything. Not thread-safe.
+/// Counts the failed attempts of each job name by worker, to distinguish a job
+/// that fails on every worker from a worker that fails every job. Not
+/// thread-safe.
 class failure_history
 {
 public:
     void
     add(std::string const& job_name, std::string const& worker, bool failed);
 
-    /// How probable a failure of this job is on a worker other than `worker`,
-    /// and at least `cell_rate`. Even odds before anything is known.
+    /// The probability, 0 to 1, that the job fails on a worker other than
+    /// `worker`; at least `cell_rate`, and at least 0.5 without history.
     [[nodiscard]] double likely(std::string const& job_name,
                                 std::string const& worker,
                                 double cell_rate) const;
--- a/libraries/placement/group_digest.hpp
+++ b/libraries/placement/group_digest.hpp
@@ -9,28 +9,29 @@
 namespace berylhill::placement
 {
 
-/// A group's free room in few numbers, small enough to gossip. It lags and may
-/// be wrong; only the group's owner is exact.
+/// Summary of a group's free capacity, small enough to be sent around often. It
+/// may be out of date; only the group's owner knows the exact state.
 struct group_digest
 {
     std::string group;
     std::string zone;
     std::string rack;
     std::int32_t workers{0};
-    /// Over the workers that take new tasks.
+    /// Sums over the workers that accept new tasks.
     model::resources total;
     model::resources free;
-    /// Of the one worker that has the most free.
+    /// The free capacity of the worker whose dominant share in use is smallest.
     model::resources largest_free;
-    /// The largest worker when empty.
+    /// The largest capacity of a worker, in each dimension.
     model::resources largest_worker;
-    /// What normal tasks that may be checkpointed use.
+    /// Resources of the running normal tasks that may be preempted by a
+    /// checkpoint.
     model::resources preemptible;
     std::int32_t running{0};
     std::int32_t held{0};
-    /// The job that the group's room is kept for; empty for none.
+    /// The job that the group's capacity is reserved for; empty for none.
     std::string reserved_for;
-    /// Attempts that ended lately and those of them that failed, for the
+    /// Attempts that ended recently and those of them that failed, for the
     /// cell's failure rate.
     std::int32_t ended{0};
     std::int32_t failed{0};
--- a/libraries/placement/group_ledger.hpp
+++ b/libraries/placement/group_ledger.hpp
@@ -19,7 +19,7 @@
 namespace berylhill::placement
 {
 
-/// A start to send; `start.lease_until` is for the sender to fill in.
+/// A start to send to a worker; the sender fills in `start.lease_until`.
 struct start_order
 {
     std::string worker;
@@ -28,95 +28,100 @@
     friend bool operator==(start_order const&, start_order const&) = default;
 };
 
-/// A hold's answer, and what has to be done for it.
+/// The answer to a hold request, and the actions it requires.
 struct hold_result
 {
     hold_answer answer;
     std::vector<ledger_action> actions;
 };
 
-/// One worker's account, for status pages and tests.
+/// State of one worker, for status pages and tests.
 struct worker_summary
 {
     std::string worker;
     model::resources capacity;
-    /// What held and running tasks are planned to use.
+    /// Sum of the planned resources of held and running tasks.
     model::resources planned;
-    /// The same, each by its observed peak where that is more.
+    /// The same sum, with the observed peak of a task where it exceeds the
+    /// plan.
     model::resources charged;
     std::int32_t tasks{0};
     health state{health::good};
     bool leaving{false};
 };
 
-/// The state of one group's owner: the only one that counts what the group's
-/// workers hold, because workers start what they are given, fits or not. Pure;
-/// not thread-safe. Every event takes the instant at which it happens, and
-/// instants must not go back.
+/// The allocation state of one group of workers, kept by the group's owner. It
+/// alone accounts for the workers' capacity: workers start whatever they are
+/// told to, even if it doesn't fit. Has no side effects; not thread-safe. Every
+/// event takes the instant at which it happens, and instants must not decrease.
 ///
-/// Always true: a hold is granted only where the plans and observed peaks of
-/// all held and running tasks leave room for it.
+/// Invariant: a hold is granted only where the planned resources and observed
+/// peaks of all held and running tasks leave enough capacity for it.
 class group_ledger
 {
 public:
     group_ledger(std::string group, std::string zone, std::string rack);
 
-    /// Adds a worker or takes its new state. A leaving one gets nothing new.
+    /// Adds or updates a worker. A leaving worker gets no new tasks.
     void set_worker(model::endpoint const& it, base::instant now);
 
-    /// The worker is off the platform's list. Returns the attempts that were
-    /// held or running there, which are gone.
+    /// Removes a worker that is no longer on the platform's endpoint list.
+    /// Returns the attempts that were held or running there; they are lost.
     std::vector<model::attempt_id> remove_worker(std::string const& worker);
 
-    /// The worker does not answer (or does again); it gets nothing new
-    /// meanwhile, and its tasks stay counted.
+    /// Sets whether the worker fails to answer. An unresponsive worker gets no
+    /// new tasks, and its tasks stay accounted for.
     void set_unresponsive(std::string const& worker, bool silent);
 
     /// The share of attempts that fail in the whole cell, 0 to 1.
     void set_cell_failure_rate(double rate);
 
-    /// Sets room aside until `expires_at`. Repeating a hold is harmless.
+    /// Allocates resources for an attempt until `expires_at`. Idempotent: a
+    /// repeated request is answered with `repeated`.
     hold_result hold(hold_request const& request,
                      base::instant expires_at,
                      base::instant now);
 
     /// Turns a hold into a start. Empty when the hold has expired or was never
-    /// given: nothing may be sent then.
+    /// granted: no start may be sent then.
     std::optional<start_order> commit(model::attempt_id const& attempt,
                                       base::instant now);
 
-    /// Gives a hold back at once. A started attempt is asked to stop and stays
-    /// counted until the worker says that it has ended.
+    /// Releases a hold at once. A started attempt is asked to stop, and its
+    /// resources stay allocated until the worker reports its end.
     std::vector<ledger_action> release(model::attempt_id const& attempt,
                                        base::instant now);
 
-    /// Plans an attempt anew; it grows only into room that its worker has.
+    /// Changes the planned resources of an attempt. They grow only as far as
+    /// its worker has free capacity.
     void resize(model::attempt_id const& attempt, model::resources const& need);
 
-    /// Counts an attempt that runs already, as found on takeover, whether it
-    /// fits or not.
+    /// Accounts for an attempt that already runs, as found when the owner takes
+    /// the group over, whether it fits or not.
     void adopt(std::string const& worker,
                platform::running_task const& task,
                base::instant now);
 
     /// The attempt has ended, or was never started. Unknown attempts are
-    /// ignored, since ends are repeated until acknowledged.
+    /// ignored, since ends are sent again until acknowledged.
     void on_finished(model::attempt_id const& attempt,
                      model::task_end end,
                      base::instant now);
 
-    /// Takes a worker's report. Precondition: the ends in the same answer were
-    /// given to `finished` first, and answers come in the order of exchanges.
+    /// Applies a worker's report of its running tasks. Precondition: the ends
+    /// in the same answer were passed to `on_finished` first, and answers are
+    /// applied in the order of the exchanges.
     std::vector<ledger_action>
     on_report(std::string const& worker,
               std::vector<platform::running_task> const& running,
               base::instant now);
 
-    /// Drops holds whose time is over and returns them.
+    /// Removes expired holds and returns them.
     std::vector<model::attempt_id> expire_holds(base::instant now);
 
-    /// Keeps the group's room for one job until `until`: others get in only if
-    /// they will have ended by `frees_at`. False when it is kept for another.
+    /// Reserves the group for one job until `until`: tasks of other jobs are
+    /// admitted only if they are urgent or expected to end by `frees_at`. False
+    /// when the group is reserved for another job.
     bool reserve(std::string const& job,
                  base::instant frees_at,
                  base::instant until,
@@ -156,7 +161,7 @@
         }
     };
 
-    /// Room on a worker that preemption is making for one attempt.
+    /// Capacity of a worker that preemption is freeing for one attempt.
     struct claim
     {
         model::attempt_id attempt;
--- a/libraries/placement/group_ledger_hold.cpp
+++ b/libraries/placement/group_ledger_hold.cpp
@@ -68,7 +68,7 @@
 group_ledger::worker_state*
 group_ledger::best_worker(hold_request const& request)
 {
-    // Within a group a gang is packed as tightly as batch work is.
+    // Within a group, gangs are packed like batch tasks.
     auto const kind = request.kind == model::job_kind::gang
                           ? model::job_kind::batch
                           : request.kind;
@@ -154,7 +154,7 @@
     auto const others = on.charged - it.charge();
     auto const room = not_negative(on.listed.capacity - others);
     auto const before = it.request.need;
-    // What it has already it keeps, even on a worker that is over its capacity.
+    // The attempt keeps what it already has, even on an overcommitted worker.
     it.request.need = {
         std::min(need.millicores, std::max(room.millicores, before.millicores)),
         std::min(need.memory_mb, std::max(room.memory_mb, before.memory_mb)),
@@ -178,7 +178,7 @@
             movable.push_back(&placed);
         }
     }
-    // The youngest loses least.
+    // The youngest tasks lose the least progress.
     std::sort(movable.begin(), movable.end(),
               [](auto const* a, auto const* b) { return a->since > b->since; });
     auto room = free_for(it, request.attempt);
--- a/libraries/placement/group_table.hpp
+++ b/libraries/placement/group_table.hpp
@@ -13,51 +13,55 @@
 namespace berylhill::placement
 {
 
-/// What a job owner believes of every group: its last digest, less what was
-/// ordered since. Not thread-safe.
+/// A job owner's view of all groups: the last digest of each, minus what was
+/// requested since. Not thread-safe.
 class group_table
 {
 public:
-    /// Takes a fresh digest; what is in flight stays subtracted.
+    /// Applies a new digest; requests in flight stay subtracted.
     void update(group_digest const& it);
     void remove(std::string const& group);
 
-    /// The index of a group, which stays the same while the process lives.
+    /// The index of a group, which stays the same for the life of the process.
+    /// Adds the group if it is unknown.
     [[nodiscard]] std::int32_t index_of(std::string const& group);
     [[nodiscard]] std::string const& name_of(std::int32_t index) const
     {
         return m_groups[static_cast<std::size_t>(index)].seen.group;
     }
 
-    /// The best group for one task of this job by the policy, or -1.
+    /// The index of the best group for one task of this job by the policy, or
+    /// -1 if none fits.
     [[nodiscard]] std::int32_t choose(job_record const& job,
                                       model::resources const& need,
                                       double run_s,
                                       base::instant now,
                                       policy const& order) const;
 
-    /// How many such tasks seem to fit into the group now.
+    /// Estimates how many such tasks fit into the group now; at most 1000000.
     [[nodiscard]] std::int32_t slots(std::int32_t index,
                                      job_record const& job,
                                      model::resources const& need,
                                      double run_s,
                                      base::instant now) const;
 
-    /// How many such tasks the whole cell would hold if it were empty.
+    /// How many such tasks fit into the whole cell when it is empty.
     [[nodiscard]] std::int64_t
     slots_when_empty(model::resources const& need) const;
 
-    /// The group with the most that can be preempted for `need`, or -1.
+    /// The index of the group with the most preemptible resources among those
+    /// where preemption can make `need` fit, or -1.
     [[nodiscard]] std::int32_t
     choose_preemptible(model::resources const& need) const;
 
     void ordered(std::int32_t index, model::resources const& need);
     void answered(std::int32_t index, model::resources const& need);
-    /// The owner said that this does not fit, which the digest hid.
+    /// The owner refused a task that fits according to the digest; tasks that
+    /// are at least as large are not sent there until the next digest.
     void refused(std::int32_t index, model::resources const& need);
 
-    /// Keeps the group's room for a job: others get in only if they will most
-    /// likely have ended by `frees_at`.
+    /// Reserves the group for a job until `until`: tasks of other jobs are sent
+    /// there only if they are expected to end by `frees_at`.
     void reserve(std::int32_t index,
                  std::string const& job,
                  base::instant frees_at,
@@ -80,11 +84,11 @@
     {
         return m_groups[static_cast<std::size_t>(index)].seen;
     }
-    /// Indices in the one global order of names.
+    /// All indices, ordered by group name: the same order at every owner.
     [[nodiscard]] std::vector<std::int32_t> in_order() const;
 
 private:
-    /// What the scan over all groups reads, close together.
+    /// The data read by the scan over all groups, stored contiguously.
     struct room_view
     {
         model::resources total;
--- a/libraries/placement/hold.hpp
+++ b/libraries/placement/hold.hpp
@@ -13,7 +13,7 @@
 namespace berylhill::placement
 {
 
-/// Asks a group's owner to set room aside for one attempt. A value.
+/// Asks a group's owner to allocate resources for one attempt. A value.
 struct hold_request
 {
     model::attempt_id attempt;
@@ -22,16 +22,18 @@
     model::job_kind kind{model::job_kind::batch};
     model::urgency urgent{model::urgency::normal};
     model::rerun safety{model::rerun::idempotent};
-    /// Whether the task may be checkpointed and moved for urgent work.
+    /// Whether the task may be checkpointed and moved to make way for urgent
+    /// work.
     model::preemption preempted{model::preemption::never};
-    /// What is planned for it, which may differ from what was declared.
+    /// The planned resources, which may differ from the declared ones.
     model::resources need;
-    /// How long it will most likely run at most; 0 where nobody knows.
+    /// Upper estimate of the run time; 0 if unknown.
     double expected_run_s{0};
     std::string command;
-    /// Workers on which the job failed; others are taken where there are any.
+    /// Workers on which the job failed; they are chosen only if no other fits.
     std::vector<std::string> avoid;
-    /// An urgent request that finds no room may have others checkpointed.
+    /// Whether other tasks may be checkpointed when nothing is free for this
+    /// urgent request.
     bool may_preempt{false};
 
     friend bool operator==(hold_request const&, hold_request const&) = default;
@@ -40,14 +42,14 @@
 enum class hold_state : std::uint8_t
 {
     held,
-    full,       ///< No worker has room now.
-    never_fits, ///< No worker of the group is large enough when empty.
-    reserved,   ///< There is room, and it is kept for a job that waits longer.
-    preempting, ///< Others are being checkpointed; ask again soon.
-    repeated,   ///< The attempt is held or running here already.
+    full,       ///< No worker has enough free capacity now.
+    never_fits, ///< No worker of the group is large enough even when empty.
+    reserved,   ///< The group is reserved for a job that has waited longer.
+    preempting, ///< Other tasks are being checkpointed; ask again soon.
+    repeated,   ///< The attempt is already held or running here.
 };
 
-/// What the group's owner answers; exact at the instant of the answer.
+/// The group owner's answer to a hold request; exact when it is given.
 struct hold_answer
 {
     hold_state state{hold_state::full};
--- a/libraries/placement/job_queue.cpp
+++ b/libraries/placement/job_queue.cpp
@@ -149,7 +149,7 @@
     }
     if (!m_account_index.contains(request.contract))
     {
-        // The contract is gone; what was accepted under it still gets done.
+        // The contract was removed; jobs accepted under it are still run.
         model::contract it;
         it.name = request.contract;
         set_contract(it);
@@ -226,7 +226,8 @@
     }
     job->queued = true;
     auto& queue = job->of_class->jobs;
-    // Work that comes back goes before what came later.
+    // Jobs are ordered by acceptance, so a job that is queued again precedes
+    // jobs accepted after it.
     queue.insert(std::upper_bound(queue.begin(), queue.end(), job,
                                   [](auto const& a, auto const& b)
                                   { return a->accepted_at < b->accepted_at; }),
--- a/libraries/placement/job_queue.hpp
+++ b/libraries/placement/job_queue.hpp
@@ -25,7 +25,7 @@
 namespace berylhill::placement
 {
 
-/// How an attempt ended, as its group's owner tells it.
+/// The end of an attempt, as reported by its group's owner.
 struct attempt_end
 {
     model::attempt_id attempt;
@@ -36,7 +36,7 @@
     std::string detail;
 };
 
-/// What is known of a job, for status pages.
+/// State of a job, for status pages.
 struct job_status
 {
     model::job_request request;
@@ -44,82 +44,87 @@
     std::int32_t waiting{0};
     std::int32_t running{0};
     std::int32_t done{0};
-    /// Tasks that failed at least once and are not done.
+    /// Tasks that failed at least once and have not succeeded since.
     std::int32_t failed{0};
 };
 
-/// The state of a job owner: the jobs of some contracts, which of their tasks
-/// go where and in which order, and their outcomes. Pure; not thread-safe.
-/// Every event takes the instant at which it happens, and instants must not go
-/// back. Attempt numbers only rise; events of older attempts are ignored.
+/// The state of a job owner: the jobs of some contracts, the order and
+/// placement of their tasks, and their outcomes. Has no side effects; not
+/// thread-safe. Every event takes the instant at which it happens, and instants
+/// must not decrease. Attempt numbers only increase; events of older attempts
+/// are ignored.
 class job_queue
 {
 public:
-    /// `seed` drives the back-off. Attempts are numbered from `first_attempt`
-    /// on: a new owner of the same jobs gives a number above all that earlier
-    /// owners can have used.
+    /// `seed` initialises the random back-off. Attempts are numbered from
+    /// `first_attempt` on: a new owner of the same jobs passes a number above
+    /// all that earlier owners can have used.
     explicit job_queue(std::uint64_t seed, std::int32_t first_attempt = 1);
 
-    /// Adds a contract, or puts its new version in force for what is decided
-    /// from now on.
+    /// Adds or updates a contract. An update applies to decisions from now on.
     void set_contract(model::contract const& it);
 
     void update_group(group_digest const& it, base::instant now);
     void remove_group(std::string const& group);
 
-    /// Takes a job. Fails with `invalid` when it can never run, `not_found`
-    /// without a contract and `refused` when the contract is full now. A job
-    /// id that is known already is taken as the same job.
+    /// Adds a job. Fails with `invalid` when it can never run, `not_found`
+    /// when its contract is unknown and `refused` when the contract has reached
+    /// its number of jobs. A known job id denotes the same job and succeeds
+    /// without effect.
     base::result<base::done> submit(std::string const& id,
                                     model::job_request const& request,
                                     base::instant now);
 
-    /// Whether `submit` would take the job now; fails as it does.
+    /// Whether `submit` would accept the job now; fails as it does.
     [[nodiscard]] base::result<base::done>
     check_admission(model::job_request const& request) const;
 
-    /// Takes a job that was accepted earlier, without checking it again.
+    /// Restores a job that was accepted earlier, without admission checks.
     void restore(std::string const& id,
                  model::job_request const& request,
                  base::instant accepted_at);
-    /// A task of a restored job that has its outcome already.
+    /// Marks a task of a restored job as done.
     void restore_done(model::task_id const& task);
-    /// An attempt of a restored job that is found running. Releases it when a
-    /// newer one is known.
+    /// Restores a running attempt of a restored job. Releases it when another
+    /// attempt of the task is known or the job is not.
     queue_actions restore_running(model::attempt_id const& attempt,
                                   std::string const& group,
                                   model::resources const& planned,
                                   base::instant now);
 
-    /// Cancels a job: its holds are given back and its tasks stopped at once.
-    /// The outcome is among the actions; unknown jobs give none.
+    /// Cancels a job: its holds are released and its tasks stopped at once. The
+    /// actions contain the outcome; they are empty for an unknown job.
     queue_actions cancel(std::string const& job, base::instant now);
 
-    /// Decides on at most about `most` tasks; a gang is decided whole.
+    /// Places waiting tasks until at least `most` holds are requested or
+    /// nothing more fits. A gang may exceed this limit, as it is placed as a
+    /// whole.
     queue_actions decide(base::instant now, std::int32_t most);
 
-    /// The group's owner holds the attempt (mode `hold`). Released when it is
-    /// not wanted any more.
+    /// The group's owner granted a hold in mode `hold`. The attempt is released
+    /// when it is no longer needed.
     queue_actions on_held(model::attempt_id const& attempt,
                           std::string const& group,
                           base::instant now);
-    /// The attempt was started. Released when it is not wanted any more.
+    /// The attempt was started. It is released when it is no longer needed.
     queue_actions on_started(model::attempt_id const& attempt,
                              std::string const& group,
                              base::instant now);
-    /// The owner refused a hold, or a commit came too late. Nothing runs.
+    /// The group's owner refused a hold, or a commit came after the hold had
+    /// expired. The attempt does not run.
     queue_actions on_refused(model::attempt_id const& attempt,
                              hold_state why,
                              base::instant now);
-    /// No answer came: the same order again, since it may have been taken.
+    /// The last order for the attempt got no answer. Returns the same order, as
+    /// orders are idempotent and the first may have been carried out.
     queue_actions on_unanswered(model::attempt_id const& attempt);
     queue_actions on_finished(attempt_end const& it, base::instant now);
-    /// A running attempt's measured use.
+    /// Records the measured use of a running attempt.
     void on_usage(model::attempt_id const& attempt,
                   model::resources const& use);
 
-    /// When `decide` next has something to do without another event; `max` for
-    /// never.
+    /// When `decide` has to be called next if no other event comes before;
+    /// `max` for never.
     [[nodiscard]] base::instant next_wakeup() const;
 
     [[nodiscard]] std::optional<job_status>
@@ -137,7 +142,7 @@
 private:
     using job_pointer = std::shared_ptr<job_record>;
 
-    /// A contract's turn in one round of decisions.
+    /// A contract's entry in the priority queue of one decision round.
     struct turn
     {
         double share{0};
@@ -146,7 +151,8 @@
     };
     using turns = std::priority_queue<turn, std::vector<turn>, std::greater<>>;
 
-    /// A job that comes back to its queue at an instant.
+    /// A timer that puts a job, and a task of it if `task` is not -1, back into
+    /// its queue.
     struct wake
     {
         base::instant at{};
@@ -159,14 +165,14 @@
         }
     };
 
-    /// Groups kept for the job that has waited longest without finding room.
+    /// The reservation of groups for the job that has been blocked longest.
     struct reservation
     {
         std::string job;
         base::instant until{};
     };
 
-    // Life of a job (job_queue.cpp).
+    // Admission and removal of jobs (job_queue.cpp).
     job_pointer add(std::string const& id,
                     model::job_request const& request,
                     base::instant accepted_at);
@@ -236,7 +242,7 @@
     void replan(queue_actions& to);
     void replan_job(job_record& job, queue_actions& to);
 
-    // Ends (job_queue_events.cpp).
+    // Events of attempts (job_queue_events.cpp).
     task_record* current(job_pointer const& job,
                          model::attempt_id const& attempt);
     void settle(job_record& job, task_record& it);
@@ -263,12 +269,12 @@
     std::priority_queue<wake, std::vector<wake>, std::greater<>> m_wakes;
     std::uint64_t m_wake_order{0};
     std::optional<reservation> m_reservation;
-    /// Of this round's blocked jobs the one that is blocked longest.
+    /// The job that has been blocked longest among those blocked this round.
     job_pointer m_longest_blocked;
     std::uint64_t m_round{0};
     std::int32_t m_urgent_in_row{0};
     std::int64_t m_waiting_tasks{0};
-    /// Classes of which more is known since their tasks were planned.
+    /// Classes whose estimate has changed since their tasks were planned.
     std::vector<std::shared_ptr<work_class>> m_learnt;
 };
 
--- a/libraries/placement/job_queue_decide.cpp
+++ b/libraries/placement/job_queue_decide.cpp
@@ -10,17 +10,20 @@
 namespace
 {
 
-/// Normal work gets a turn after so many urgent decisions in a row.
+/// A normal job gets a turn after this many urgent decisions in a row.
 constexpr std::int32_t s_max_consecutive_urgent = 16;
-/// Dead jobs are swept out when there are this many and they are the half.
+/// Finished jobs are removed from a class's queue when there are at least this
+/// many and they are at least half of it.
 constexpr std::size_t s_min_finished_to_sweep = 64;
-/// A job with a deadline goes ahead this long before its latest start.
+/// A job is ordered by its latest start (deadline minus run time) minus this
+/// margin where that is earlier than its normal order.
 constexpr double s_deadline_margin_s = 60;
-/// For contracts that prefer short waiting, a job of one second counts as if it
-/// had come this many seconds earlier than one of two seconds.
+/// For contracts that prefer short waiting: each second of run time orders a
+/// job as if it had been accepted this many seconds later.
 constexpr double s_run_time_weight = 4;
-/// For contracts that prefer packing, the largest task counts as if it had come
-/// this many seconds earlier than the smallest: small ones fill what is left.
+/// For contracts that prefer packing: a task as large as a worker is ordered as
+/// if it had been accepted this many seconds earlier than the smallest. Small
+/// tasks then fill the remaining gaps.
 constexpr double s_size_weight_s = 60;
 
 } // namespace
@@ -161,8 +164,8 @@
     auto const found = m_estimator.of(request, m_groups.largest_worker());
     it.need = found.peak;
     it.run_s = found.run_s;
-    // The room above what is known must not keep a job waiting for ever that
-    // was accepted without it.
+    // A job that was accepted without the safety margin of the estimate must
+    // not wait for ever because of it.
     if (!can_ever_fit(*it.jobs.front(), it.need))
     {
         it.need = found.least;
@@ -264,7 +267,7 @@
     }
     if (job->request.kind == model::job_kind::gang)
     {
-        // It comes back to the queue only if it does not get all its holds.
+        // The gang is queued again only if it does not get all its holds.
         it.jobs.pop_front();
         job->queued = false;
     }
@@ -300,7 +303,8 @@
     auto const index = job->waiting.back();
     job->waiting.pop_back();
     m_waiting_tasks -= 1;
-    // What may run only once is committed after its intent is in the log.
+    // An at-most-once task is committed only after the intent to start it is in
+    // the log.
     auto const mode = job->request.safety == model::rerun::at_most_once
                           ? hold_mode::hold
                           : hold_mode::start;
--- a/libraries/placement/job_queue_events.cpp
+++ b/libraries/placement/job_queue_events.cpp
@@ -10,11 +10,14 @@
 namespace
 {
 
+/// A job fails when one of its tasks failed s_max_failures times and the job
+/// failed on s_min_failed_workers workers, or when a task failed
+/// s_max_failures_on_any_worker times wherever it ran.
 constexpr std::int16_t s_max_failures = 5;
 constexpr std::size_t s_min_failed_workers = 3;
 constexpr std::int16_t s_max_failures_on_any_worker = 12;
-/// So many workers lost under one task in a row make it the likely cause; one
-/// that had run for this long lost its worker for another reason.
+/// A task that lost this many workers in a row is considered the cause. A loss
+/// after a run of at least s_harmless_run is attributed to another cause.
 constexpr std::int16_t s_max_consecutive_losses = 5;
 constexpr base::duration s_harmless_run{60'000'000};
 constexpr double s_first_back_off_s = 1;
@@ -100,7 +103,7 @@
     if (it == nullptr || it->phase == task_phase::waiting ||
         it->phase == task_phase::stopping)
     {
-        // The release went past the start on its way, or was lost.
+        // The release overtook the start order, or was lost.
         return release_of(group, attempt);
     }
     if (it->phase != task_phase::ordered && it->phase != task_phase::committed)
@@ -147,7 +150,8 @@
     make_waiting(*job, attempt.task.index);
     if (gang)
     {
-        // One hold ran out while others were started: none may run without it.
+        // One hold expired while others were started. A gang runs only as a
+        // whole.
         job->not_before = now + s_refused_pause;
         return late_commit || job->state == model::job_state::running
                    ? restart_gang(job, now)
@@ -254,8 +258,8 @@
     job->unfinished -= 1;
     if (job->unfinished > 0)
     {
-        // A gang that is being stopped may end its last task well: what is
-        // left of it starts together again.
+        // The last task of a gang that is being stopped may succeed before the
+        // stop reaches it; the remaining tasks are then started together again.
         auto const gang = job->request.kind == model::job_kind::gang;
         return gang && !job->waiting.empty() ? restart_gang(job, now)
                                              : queue_actions{};
@@ -281,6 +285,7 @@
     }
     auto const everywhere = it.failures >= s_max_failures &&
                             job->failed_on.size() >= s_min_failed_workers;
+    // A service is never given up.
     auto const service = job->request.kind == model::job_kind::service;
     if (!service && (everywhere || it.failures >= s_max_failures_on_any_worker))
     {
@@ -303,8 +308,8 @@
                      now);
 }
 
-/// Without a bound a task that crashes its workers takes one after the other
-/// from all others.
+/// Limits how many workers a task may lose in a row: a task that crashes its
+/// workers would otherwise take down one after the other.
 queue_actions job_queue::task_lapsed(job_pointer const& job,
                                      std::int32_t index,
                                      base::instant now)
--- a/libraries/placement/job_queue_gang.cpp
+++ b/libraries/placement/job_queue_gang.cpp
@@ -42,13 +42,13 @@
     {
         return false;
     }
-    // The fewest groups: those with the most slots.
+    // Groups with the most slots first, so that the gang spans few groups.
     std::sort(offers.begin(), offers.end(),
               [](auto const& a, auto const& b) { return a.slots > b.slots; });
-    // A group's room is in pieces, one a worker, and each may hold one task
-    // less than its share promises. So many groups are asked that their pieces
-    // are enough for certain, in so far as there are such; those at the end are
-    // asked only when it turns out to be needed.
+    // A group's free capacity is split over its workers, and fragmentation may
+    // cost up to one task on each worker but the first. Enough groups are
+    // chosen to fit the gang even then, as far as there are enough; the last of
+    // them are asked only if the others did not suffice.
     std::int64_t certain = 0;
     auto const last =
         std::find_if(offers.begin(), offers.end(),
@@ -171,7 +171,7 @@
     {
         return actions;
     }
-    // Every task that was stopped has ended: all of them start together again.
+    // All stopped tasks have ended; the gang can be started again as a whole.
     job->ordered = 0;
     job->held = 0;
     wake_at(job, -1, std::max(now, job->not_before));
--- a/libraries/placement/job_queue_reserve.cpp
+++ b/libraries/placement/job_queue_reserve.cpp
@@ -9,14 +9,15 @@
 namespace
 {
 
-/// How long a job is blocked before room is kept for it.
+/// How long a job is blocked before groups are reserved for it, by the
+/// preference of its contract.
 constexpr base::duration s_delay_if_waiting_preferred{1'000'000};
 constexpr base::duration s_delay_if_packing_preferred{15'000'000};
-/// Reservations are short, so that one whose owner is gone ends soon, and are
-/// renewed while their job waits.
+/// Reservations are short, so that they expire soon when the job's owner is
+/// lost, and are renewed while the job waits.
 constexpr base::duration s_reservation_time{30'000'000};
 constexpr base::duration s_renewal_before{15'000'000};
-/// The share of a worker from which on a task is large.
+/// A task whose dominant share of the largest worker is below this is small.
 constexpr double s_large_task = 0.25;
 constexpr double s_first_step_s = 1;
 constexpr double s_max_step_s = 4096;
@@ -30,8 +31,8 @@
         dominant_share(job->of_class->need, m_groups.largest_worker());
     if (job->request.kind != model::job_kind::gang && size < s_large_task)
     {
-        // Small tasks find room soon enough; keeping it for them would only
-        // leave it idle.
+        // Small tasks fit somewhere soon enough; a reservation for them would
+        // only leave capacity idle.
         return;
     }
     if (m_longest_blocked == nullptr ||
@@ -87,7 +88,8 @@
             if (it.phase == task_phase::running ||
                 it.phase == task_phase::committed)
             {
-                // A task that outran its estimate has half as long again.
+                // A task that exceeded its estimate is expected to run for half
+                // as long again.
                 auto const ran = now - it.since;
                 auto const run = std::max<base::duration>(
                     base::from_seconds(it.expected_run_s), ran + ran / 2);
@@ -189,7 +191,7 @@
         account.refund(it);
         if (!account.allows(need, 1))
         {
-            // More is known to be needed than the contract has left.
+            // The new estimate exceeds what is left of the contract's quota.
             account.charge(it);
             continue;
         }
--- a/libraries/placement/job_record.hpp
+++ b/libraries/placement/job_record.hpp
@@ -19,91 +19,92 @@
 enum class task_phase : std::uint8_t
 {
     waiting,   ///< Not placed.
-    ordered,   ///< A hold was asked for.
-    held,      ///< The hold was given.
-    committed, ///< The start was ordered.
+    ordered,   ///< A hold was requested.
+    held,      ///< The hold was granted.
+    committed, ///< The start was requested.
     running,
-    stopping, ///< A release was ordered; it may still run.
+    stopping, ///< A release was requested; the attempt may still run.
     done,
 };
 
-/// One task of a job, inside its owner's queue.
+/// One task of a job, as its owner tracks it.
 struct task_record
 {
     std::int32_t number{0};
     std::int32_t group{-1};
     task_phase phase{task_phase::waiting};
-    /// Whether it counts against its contract.
+    /// Whether the task is charged to its contract.
     bool charged{false};
     bool urgent{false};
     std::int16_t failures{0};
-    /// Workers lost under it in a row, each soon after it had started there.
+    /// Workers lost in a row, each soon after the task had started there.
     std::int16_t lapses{0};
-    /// Where room is being made for it by preemption, or -1.
+    /// The group where preemption is freeing capacity for the task, or -1.
     std::int32_t claimed_group{-1};
     model::resources planned;
     float expected_run_s{0};
     base::instant since{};
 };
 
-/// A job that has not reached its outcome.
+/// A job without an outcome.
 struct job_record
 {
     std::string id;
     model::job_request request;
     std::int32_t account{-1};
     std::shared_ptr<work_class> of_class;
-    /// Where it stands in `of_class->members`.
+    /// Its index in `of_class->members`.
     std::size_t member_at{0};
     base::instant accepted_at{};
     base::instant deadline{base::instant::max()};
     model::job_state state{model::job_state::queued};
     std::vector<task_record> tasks;
-    /// Tasks that may be placed now, by index, the next at the back.
+    /// Indices of the tasks that may be placed now, the next at the back.
     std::vector<std::int32_t> waiting;
-    /// It stands in its class's queue.
+    /// Whether it is in its class's queue.
     bool queued{false};
     std::int32_t unfinished{0};
-    /// Tasks of a gang that have been ordered, held or not.
+    /// Tasks of a gang for which holds were requested, granted or not.
     std::int32_t ordered{0};
     std::int32_t held{0};
-    /// Groups that a gang still has to ask, in the one global order, the
-    /// next at the back.
+    /// Groups that a gang still has to ask, in the order of
+    /// `group_table::in_order`, the next at the back.
     std::vector<std::int32_t> to_ask;
-    /// Where holds of this gang were refused since it began to ask.
+    /// Failed rounds of hold requests of a gang since it last got all its
+    /// holds.
     std::int32_t rounds_failed{0};
     std::int32_t failures_in_row{0};
-    /// When it first found no room; `max` while it was never blocked.
+    /// When placement first failed; `max` while the job is not blocked.
     base::instant blocked_since{base::instant::max()};
     base::instant not_before{};
     std::set<std::string> failed_on;
     std::set<std::int32_t> failed_groups;
-    /// Running tasks by group, for spreading services.
+    /// Number of running tasks by group, for spreading services.
     std::map<std::int32_t, std::int32_t> spread;
 };
 
-/// Jobs that are alike for placement: where one finds no room, none does.
+/// Jobs that are equivalent for placement: if one doesn't fit, none does.
 struct work_class
 {
     std::string key;
     std::int32_t account{-1};
     bool urgent{false};
     std::deque<std::shared_ptr<job_record>> jobs;
-    /// Cancelled jobs that still stand in `jobs`.
+    /// The number of finished jobs that are still in `jobs`.
     std::size_t dead{0};
-    /// What is planned for one task, and for how long.
+    /// The planned resources of one task and its expected run time.
     model::resources need;
     double run_s{0};
-    /// The rounds of decisions in which no room was found for it, and in which
-    /// its plan was last looked up.
+    /// The last decision rounds in which placement failed, and in which `need`
+    /// and `run_s` were updated.
     std::uint64_t failed_round{0};
     std::uint64_t planned_round{0};
-    /// All its jobs without an outcome, waiting or not, in an order that does
-    /// not hang on addresses: the same events give the same decisions.
+    /// All its jobs without an outcome, waiting or not. The order doesn't
+    /// depend on addresses, so that the same events give the same decisions.
     std::vector<job_record*> members;
-    /// More is known since its running tasks were planned.
+    /// Whether the estimate has changed since its running tasks were planned.
     bool replan{false};
-    /// It stands among its contract's active classes.
+    /// Whether it is among its contract's active classes.
     bool active{false};
 };
 
--- a/libraries/placement/ledger_action.hpp
+++ b/libraries/placement/ledger_action.hpp
@@ -11,13 +11,13 @@
 
 enum class ledger_action_kind : std::uint8_t
 {
-    throttle,   ///< Send the worker a throttle with `share`.
+    throttle,   ///< Ask the worker to limit the attempt's cores to `share`.
     checkpoint, ///< Ask the worker to checkpoint the attempt.
     stop,       ///< Ask the worker to stop the attempt.
-    lost,       ///< The attempt is gone without an end; tell its job's owner.
+    lost,       ///< The attempt vanished without an end; tell its job's owner.
 };
 
-/// What the group's owner has to do after an event. A value.
+/// An action that the group's owner has to take after an event. A value.
 struct ledger_action
 {
     ledger_action_kind kind{ledger_action_kind::stop};
--- a/libraries/placement/overuse.cpp
+++ b/libraries/placement/overuse.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Reports lag, so the worker counts as full a little before it is.
+// Reports lag behind, so a worker counts as full at this share of its memory.
 constexpr std::int64_t s_full_percent = 95;
 constexpr double s_min_share = 0.1;
 
@@ -18,12 +18,12 @@
     return !it.used.fits_in(it.planned);
 }
 
-/// The share of its cores that brings a task back to its plan.
+/// The share of its cores that brings a task back to its planned use.
 double share_for(task_use const& it)
 {
     if (it.used.millicores <= it.planned.millicores)
     {
-        // Only its memory grows; slower work grows it more slowly.
+        // Only memory exceeds the plan; a slower task allocates more slowly.
         return 0.5;
     }
     auto const share = static_cast<double>(it.planned.millicores) /
@@ -31,8 +31,8 @@
     return std::max(share, s_min_share);
 }
 
-/// Cheapest first: normal before urgent, what may be run again before what may
-/// not, what outgrew its plan before what kept to it, the youngest first.
+/// Orders tasks by the cost of a checkpoint: normal before urgent, idempotent
+/// before at-most-once, over plan before within plan, youngest first.
 bool cheaper_to_checkpoint(task_use const& a, task_use const& b)
 {
     auto const cost = [](task_use const& it)
@@ -45,7 +45,7 @@
 
 ledger_action action_for(std::string const& worker, task_use const& it)
 {
-    // A checkpoint keeps the progress, so it is safe for every task.
+    // A checkpoint keeps the task's progress, so it is safe for every task.
     return {ledger_action_kind::checkpoint, worker, it.attempt, 1};
 }
 
@@ -81,7 +81,7 @@
                                share_for(it)});
         }
     }
-    // Processors are shared by throttling alone; memory can only be freed.
+    // Throttling is enough to share processors; memory has to be freed.
     auto memory = used.memory_mb;
     std::sort(tasks.begin(), tasks.end(), cheaper_to_checkpoint);
     for (auto const& it : tasks)
--- a/libraries/placement/overuse.hpp
+++ b/libraries/placement/overuse.hpp
@@ -11,7 +11,7 @@
 namespace berylhill::placement
 {
 
-/// One task on a worker as its last report showed it.
+/// One task of a worker, as of the worker's last report.
 struct task_use
 {
     model::attempt_id attempt;
@@ -21,17 +21,17 @@
     model::rerun safety{model::rerun::idempotent};
     base::instant started_at{};
     bool throttled{false};
-    /// It was asked to checkpoint or stop already.
+    /// Whether it was already asked to checkpoint or stop.
     bool leaving{false};
 };
 
-/// What to do about the tasks of one worker that together use more than it
-/// holds, or are about to. Pure.
+/// The actions to take when the tasks of one worker use more than its capacity,
+/// or are about to. Has no side effects.
 ///
-/// Guards against declarations and estimates that were too small: it shows as
-/// use that grows beyond the plan until the machine runs out of memory and
-/// fails every task on it. The guard holds because the growth is throttled
-/// first, which gains time, and what still does not fit is checkpointed, the
+/// Protects against declarations and estimates that were too small: use grows
+/// beyond the plan until the machine runs out of memory and fails every task on
+/// it. Tasks beyond their plan are throttled first, which slows the growth; if
+/// memory use still exceeds 95% of the worker, tasks are checkpointed, the
 /// cheapest first, before the worker is full.
 [[nodiscard]] std::vector<ledger_action>
 relieve(std::string const& worker,
--- a/libraries/placement/policy.cpp
+++ b/libraries/placement/policy.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-// An accelerator that is left idle by a task without need of one costs more
-// than any gap in cores or memory.
+// An accelerator left idle because a task without need of one takes its worker
+// costs more than any amount of unused cores or memory.
 constexpr double s_idle_accelerator_cost = 10;
 
 double share(std::int64_t part, std::int64_t whole) noexcept
--- a/libraries/placement/policy.hpp
+++ b/libraries/placement/policy.hpp
@@ -10,25 +10,26 @@
 namespace berylhill::placement
 {
 
-/// A place that could take a task: a worker, or a group seen through its
+/// A possible placement of a task: a worker, or a group as described by its
 /// digest.
 struct candidate
 {
     model::resources total;
     model::resources free;
-    /// Tasks of the same job that are there already, and in the whole zone and
-    /// rack that it belongs to.
+    /// Number of tasks of the same job in this candidate, in its rack and in
+    /// its zone.
     std::int32_t same_here{0};
     std::int32_t same_in_rack{0};
     std::int32_t same_in_zone{0};
-    /// The job failed here before.
+    /// Whether the job failed here before.
     bool failed_here{false};
 };
 
-/// How well a candidate suits; less is better.
+/// How well a candidate suits a task; compared lexicographically, less is
+/// better.
 struct rank
 {
-    /// Places where the job failed come last.
+    /// Candidates where the job failed come last.
     bool failed_here{false};
     double spread{0};
     double fit{0};
@@ -36,7 +37,7 @@
     friend auto operator<=>(rank const&, rank const&) = default;
 };
 
-/// Ranks the candidates that fit. Stateless, hence thread-safe.
+/// Ranks the candidates that fit a task. Stateless, hence thread-safe.
 class policy
 {
 public:
@@ -51,7 +52,7 @@
 };
 
 /// Spreads a service over zones, then racks, then workers, so that one fault
-/// takes few of its tasks; among equals the emptiest place.
+/// affects few of its tasks; prefers the emptiest among equal candidates.
 class service_policy final : public policy
 {
 public:
@@ -59,8 +60,8 @@
                                model::resources const& need) const override;
 };
 
-/// Packs tightly: takes the place that has the least left afterwards in its
-/// fullest dimension, and spares accelerators from tasks that need none.
+/// Best fit: prefers the candidate that has the least cores and memory left
+/// afterwards, and keeps tasks without accelerators off those that have some.
 class batch_policy final : public policy
 {
 public:
@@ -68,8 +69,8 @@
                                model::resources const& need) const override;
 };
 
-/// Takes the emptiest places first, so that a gang spans few groups and has
-/// few owners to ask.
+/// Worst fit: prefers the emptiest candidate, so that a gang spans few groups
+/// and needs holds from few owners.
 class gang_policy final : public policy
 {
 public:
@@ -77,12 +78,12 @@
                                model::resources const& need) const override;
 };
 
-/// The policy for this kind of job; lives as long as the program.
+/// The policy for a kind of job; valid for the life of the program.
 [[nodiscard]] policy const& policy_for(model::job_kind kind,
                                        model::preference preferred) noexcept;
 
-/// The largest share that `used` takes of `total` in any dimension; 0 for
-/// dimensions that `total` lacks.
+/// The largest share of `total` that `used` takes in any dimension. Dimensions
+/// in which `total` is 0 count as 0.
 [[nodiscard]] double dominant_share(model::resources const& used,
                                     model::resources const& total) noexcept;
 
--- a/libraries/placement/queue_action.hpp
+++ b/libraries/placement/queue_action.hpp
@@ -38,7 +38,7 @@
                            attempt_order const&) = default;
 };
 
-/// Asks a group's owner to keep its room for a job that has waited long.
+/// Asks a group's owner to reserve the group for a job that has waited long.
 struct reserve_order
 {
     std::string group;
@@ -50,8 +50,8 @@
                            reserve_order const&) = default;
 };
 
-/// Plans a running attempt anew, now that more is known of its like. Leaving it
-/// out is safe and only costs room.
+/// Changes the planned resources of a running attempt after its estimate has
+/// changed. Losing this order is safe and only wastes capacity.
 struct resize_order
 {
     std::string group;
@@ -61,7 +61,7 @@
     friend bool operator==(resize_order const&, resize_order const&) = default;
 };
 
-/// A job is over, with the reason where it did not succeed.
+/// The final state of a job, with the reason if it did not succeed.
 struct job_outcome
 {
     std::string job;
@@ -71,12 +71,12 @@
     friend bool operator==(job_outcome const&, job_outcome const&) = default;
 };
 
-/// What the owner of a job queue has to do after an event.
+/// The actions that the owner of a job queue has to take after an event.
 struct queue_actions
 {
     std::vector<hold_order> holds;
     std::vector<attempt_order> commits;
-    /// Holds to give back and running attempts to stop.
+    /// Holds to release and running attempts to stop.
     std::vector<attempt_order> releases;
     std::vector<reserve_order> reservations;
     std::vector<resize_order> resizes;
--- a/libraries/placement/worker_health.hpp
+++ b/libraries/placement/worker_health.hpp
@@ -10,31 +10,33 @@
 enum class health : std::uint8_t
 {
     good,
-    quarantined, ///< Gets nothing new.
-    probing,     ///< Gets one attempt, whose end decides.
+    quarantined, ///< Gets no new attempts.
+    probing,     ///< Gets one attempt, whose end decides on the next state.
 };
 
-/// Judges one worker by how the attempts on it ended. Not thread-safe.
+/// Health of one worker, derived from the ends of its attempts. Not
+/// thread-safe.
 ///
-/// Guards against a worker that fails everything it starts: it shows as a row
-/// of failures of unlike jobs, empties fastest and so draws all work to itself.
-/// The guard holds because a row that chance alone would bring about less than
-/// once in ten thousand keeps new work away, and a probe brings a mended worker
-/// back. A job that fails everywhere weighs little, as it was likely to fail.
+/// Protects against a worker that fails every attempt: it is emptied fastest,
+/// so placement keeps sending work to it. A worker is quarantined after a run
+/// of consecutive failures whose probability on a good worker is below 1 in
+/// 10000, and a probe returns a repaired worker to service. Failures of a job
+/// that fails everywhere count little, because they were likely on any worker.
 class worker_health
 {
 public:
-    /// `likely` is how probable a failure of this attempt was on any worker,
-    /// judged by the cell and by the same job elsewhere.
+    /// An attempt ended. `likely` is the probability, 0 to 1, that it fails on
+    /// any other worker, from the failure rates of the cell and of the same job
+    /// elsewhere.
     void ended(bool failed, double likely, base::instant now);
 
-    /// Moves from quarantine to probing when its time is over.
+    /// Moves from quarantine to probing when the quarantine is over.
     void advance(base::instant now);
 
-    /// An attempt was given to the worker.
+    /// An attempt was placed on the worker.
     void attempt_given();
 
-    /// An attempt ended without saying anything about the worker.
+    /// An attempt ended in a way that does not depend on the worker's health.
     void attempt_gone();
 
     [[nodiscard]] health state() const noexcept
@@ -55,7 +57,8 @@
     bool m_probe_out{false};
     base::instant m_until{};
     base::duration m_span{};
-    /// How probable the present row of failures is on a good worker.
+    /// The probability of the current run of consecutive failures on a good
+    /// worker.
     double m_chance{1};
 };
 
