--- a/libraries/workload/account_spec.hpp
+++ b/libraries/workload/account_spec.hpp
@@ -12,13 +12,14 @@
 struct account_spec
 {
     std::string name;
-    /// Each names the account to whoever has it; never logged.
+    /// Callers that present one of these keys belong to the account. Secret:
+    /// never logged.
     std::vector<std::string> keys;
-    /// Jobs a second that it is owed while more is asked than fits; 0: none is
-    /// stated.
+    /// Jobs per second that the account is entitled to while demand exceeds
+    /// capacity; 0: not specified.
     double weight{0};
-    /// What its tasks may take on all instances together; 0 in a dimension:
-    /// no limit.
+    /// Limit on the resources of its tasks over all instances; 0 in a
+    /// dimension: no limit.
     resources cap;
 
     friend bool operator==(account_spec const&, account_spec const&) = default;
--- a/libraries/workload/account_table.hpp
+++ b/libraries/workload/account_table.hpp
@@ -11,13 +11,13 @@
 namespace berylhill::workload
 {
 
-/// The client accounts of one configuration, found by their keys. A value.
+/// The client accounts of one configuration, indexed by their keys. A value.
 class account_table
 {
 public:
     account_table() = default;
 
-    /// Where two accounts have one key, the first keeps it.
+    /// If two accounts have the same key, it belongs to the first.
     explicit account_table(std::vector<account_spec> accounts);
 
     [[nodiscard]] std::vector<account_spec> const& all() const noexcept
@@ -25,8 +25,8 @@
         return m_accounts;
     }
 
-    /// The account whose key it is; null where it is nobody's. Valid as long
-    /// as the table.
+    /// The account with this key; null if there is none. Valid as long as the
+    /// table.
     [[nodiscard]] account_spec const* find_by_key(std::string const& key) const;
 
     friend bool operator==(account_table const&,
@@ -37,8 +37,8 @@
     std::unordered_map<std::string, std::size_t> m_by_key;
 };
 
-/// What is wrong with the accounts: a name or a key that two have, a weight or
-/// a cap below 0. Names no key. Empty where nothing is.
+/// Finds errors in the accounts: duplicate names or keys, negative weights or
+/// caps. The findings contain no key. Empty if the accounts are valid.
 [[nodiscard]] base::findings check(account_table const& it);
 
 } // namespace berylhill::workload
--- a/libraries/workload/cell_configuration.hpp
+++ b/libraries/workload/cell_configuration.hpp
@@ -11,22 +11,22 @@
 namespace berylhill::workload
 {
 
-/// What the operator has put in force. A value.
+/// The configuration that the operator has put into force. A value.
 struct cell_configuration
 {
-    /// 0: none was read yet.
+    /// 0: no configuration has been read yet.
     std::int64_t version{0};
     std::vector<queue_spec> queues;
     std::vector<service_spec> services;
     request_limits limits;
-    /// The client accounts; nothing where callers need no key.
+    /// The client accounts; empty if callers need no key.
     std::optional<account_table> accounts;
 
     friend bool operator==(cell_configuration const&,
                            cell_configuration const&) = default;
 
-    /// The queue of the longest prefix of `path` at this host; null where
-    /// there is none. Valid as long as the configuration.
+    /// The queue of this host with the longest prefix of `path`; null if there
+    /// is none. Valid as long as the configuration.
     [[nodiscard]] queue_spec const* match_queue(std::string_view host,
                                                 std::string_view path) const;
 
--- a/libraries/workload/job_id.hpp
+++ b/libraries/workload/job_id.hpp
@@ -12,7 +12,8 @@
 namespace berylhill::workload
 {
 
-/// The id that a client chose for its job: 16 lower-case hex digits. A value.
+/// The id that a client chose for its job; 16 lower-case hex digits as text. A
+/// value.
 struct job_id
 {
     std::uint64_t number{0};
--- a/libraries/workload/job_spec.hpp
+++ b/libraries/workload/job_spec.hpp
@@ -10,12 +10,12 @@
 namespace berylhill::workload
 {
 
-/// How often and when a job's steps run. A value.
+/// The schedule on which a job's steps are repeated. A value.
 struct repetition
 {
-    /// 0: once, at once.
+    /// Number of occurrences; 0: runs once, immediately.
     std::uint32_t count{0};
-    /// Of the first occurrence, milliseconds since 1970.
+    /// Start of the first occurrence, in milliseconds since 1970.
     std::int64_t first_ms{0};
     std::int64_t interval_ms{0};
 
@@ -26,11 +26,11 @@
 struct job_spec
 {
     job_id id;
-    /// The name of the queue that took it.
+    /// The name of the queue that accepted it.
     std::string queue;
-    /// The client account that it belongs to; empty: none.
+    /// The client account it belongs to; empty: none.
     std::string account;
-    /// Passed to every task unread.
+    /// Opaque data that is passed to every task.
     std::string payload;
     std::vector<step_spec> steps;
     repetition repeats;
--- a/libraries/workload/queue_spec.hpp
+++ b/libraries/workload/queue_spec.hpp
@@ -9,41 +9,45 @@
 namespace berylhill::workload
 {
 
-/// How the service that knows a queue's policy behaves. A value.
+/// Timing of the advice service that knows a queue's policy. A value.
 struct advice_spec
 {
+    /// The fixed part of the time for an answer.
     base::duration decision{0};
+    /// The additional time for each instance that the request names.
     base::duration per_instance{0};
+    /// How long an answer may be used.
     base::duration validity{0};
 
     friend bool operator==(advice_spec const&, advice_spec const&) = default;
 };
 
-/// Whether the callers of a queue have to show a key of a client account,
-/// where there are accounts.
+/// Whether callers of a queue have to present a key of a client account, if the
+/// configuration has accounts.
 enum class caller_check : std::uint8_t
 {
     key,
     none,
 };
 
-/// One queue of the configuration in force. A value.
+/// One queue of a configuration. A value.
 struct queue_spec
 {
     std::string name;
-    /// The `Host` of its callers.
+    /// The `Host` header of requests to this queue.
     std::string host;
     std::string path_prefix;
     /// The service whose instances run its tasks.
     std::string service;
     base::duration timeout{0};
-    /// Added to the stretched work of a job to give its objective.
+    /// The constant part of a job's time objective: the objective is this plus
+    /// `stretch` times the longest chain of work of the job.
     base::duration target_latency{0};
-    /// 0 comes first.
+    /// 0 is the highest priority.
     std::int32_t priority{0};
-    /// A task that ended `failed` so often fails its job.
+    /// A task that ended as `failed` this many times fails its job.
     std::uint32_t max_attempts{1};
-    /// A job's objective is this many times its longest chain of work.
+    /// The factor on a job's longest chain of work in its time objective.
     double stretch{1};
     std::optional<advice_spec> advice;
     caller_check callers{caller_check::key};
@@ -51,20 +55,20 @@
     friend bool operator==(queue_spec const&, queue_spec const&) = default;
 };
 
-/// One service of the configuration. A value.
+/// One service of a configuration. A value.
 struct service_spec
 {
     std::string name;
     std::uint32_t connections_per_instance{0};
-    /// Its instances refuse what does not fit.
+    /// Whether its instances refuse tasks that exceed their capacity.
     bool enforces_capacity{false};
-    /// Its machines are off.
+    /// Whether its machines are switched off.
     bool standby{false};
 
     friend bool operator==(service_spec const&, service_spec const&) = default;
 };
 
-/// Bounds on what a caller may send. A value.
+/// Limits on the requests of callers. A value.
 struct request_limits
 {
     std::size_t header_bytes{16'384};
--- a/libraries/workload/resources.hpp
+++ b/libraries/workload/resources.hpp
@@ -6,7 +6,7 @@
 namespace berylhill::workload
 {
 
-/// What a task needs or an instance has. A value.
+/// The resources that a task needs or an instance has. A value.
 struct resources
 {
     /// Thousandths of a core.
--- a/libraries/workload/task_name.hpp
+++ b/libraries/workload/task_name.hpp
@@ -37,7 +37,7 @@
 /// `JOB.OCCURRENCE.STEP.INDEX`
 [[nodiscard]] std::string text_of(task_name const& it);
 
-/// Fails with `invalid`.
+/// Parses `JOB.OCCURRENCE.STEP.INDEX`. Fails with `invalid` for anything else.
 [[nodiscard]] base::result<task_name> parse_task_name(std::string_view text);
 
 } // namespace berylhill::workload
--- a/libraries/workload/validation.cpp
+++ b/libraries/workload/validation.cpp
@@ -43,8 +43,8 @@
     }
 }
 
-/// Takes away steps that wait for none of the others until none is left; what
-/// stays waits in a circle.
+/// Removes steps without remaining dependencies until there are none; the steps
+/// that are left depend on a cycle.
 bool has_cycle(std::vector<step_spec> const& steps)
 {
     std::vector<bool> taken(steps.size(), false);
--- a/libraries/workload/validation.hpp
+++ b/libraries/workload/validation.hpp
@@ -6,15 +6,16 @@
 namespace berylhill::workload
 {
 
-/// The longest payload that is taken, in bytes.
+/// The largest accepted payload, in bytes.
 inline constexpr std::size_t longest_payload = 4'000;
 
-/// More tasks in one step than this are a mistake.
+/// The largest accepted number of tasks in one step; more are assumed to be a
+/// mistake.
 inline constexpr std::uint32_t most_tasks = 10'000;
 
-/// What is wrong with a job, whatever cell it is for: a step without tasks or
-/// that waits for itself, sizes below 0, a payload that is too long. Empty
-/// where nothing is.
+/// Finds errors in a job that do not depend on the cell: steps without tasks,
+/// cyclic dependencies, negative resources, a payload that is too long. Empty
+/// if the job is valid.
 [[nodiscard]] base::findings check(job_spec const& it);
 
 } // namespace berylhill::workload
