--- a/tests/placement/fake_cell.cpp
+++ b/tests/placement/fake_cell.cpp
@@ -154,7 +154,8 @@
     }
 }
 
-// The attempt is a copy: callers pass keys of `running`, which end here.
+// The attempt is passed by value because callers pass keys of `running`, which
+// are erased here.
 void fake_cell::end(model::attempt_id attempt, model::task_end how)
 {
     auto const it = running.find(attempt);
--- a/tests/placement/fake_cell.hpp
+++ b/tests/placement/fake_cell.hpp
@@ -11,8 +11,8 @@
 namespace berylhill::placement_test
 {
 
-/// Job queues joined to group ledgers in virtual time: every order is answered
-/// at once, and workers run what they are given. A fake for unit tests.
+/// Job queues connected to group ledgers in virtual time. Every order is
+/// answered immediately, and workers run every start. A fake for unit tests.
 class fake_cell
 {
 public:
@@ -23,7 +23,8 @@
                     model::resources const& capacity);
     void add_contract(model::contract const& it);
 
-    /// Hands digests over, decides and carries all orders out.
+    /// Removes expired holds, sends digests to the queues, lets them decide and
+    /// executes all orders.
     void step(std::int32_t most = 1000);
     void advance(double seconds)
     {
@@ -31,9 +32,9 @@
     }
     /// Ends one running attempt.
     void end(model::attempt_id attempt, model::task_end how);
-    /// Carries out what a queue asked for.
+    /// Executes a queue's actions and those that follow from them.
     void carry_out(std::size_t queue, placement::queue_actions actions);
-    /// Only the first step of that: returns what the queue asked for next.
+    /// Executes a queue's actions once and returns those that follow from them.
     placement::queue_actions deliver(std::size_t queue,
                                      placement::queue_actions const& actions);
 
@@ -41,7 +42,7 @@
     {
         return queues[n];
     }
-    /// Every worker's plans and peaks are within what it holds.
+    /// Whether the plans and peaks of every worker's tasks fit its capacity.
     [[nodiscard]] bool nothing_overfull() const;
 
     base::instant now{base::from_seconds(1000)};
@@ -50,13 +51,13 @@
     /// Running attempts and the group of each.
     std::map<model::attempt_id, std::string> running;
     std::map<model::attempt_id, std::size_t> owner;
-    /// What tasks of a name truly use; others use what is planned.
+    /// The actual peak use of tasks by name; others use what is planned.
     std::map<std::string, model::resources> true_peaks;
     std::map<model::attempt_id, model::resources> peaks;
     std::map<std::string, model::job_state> outcomes;
     std::vector<model::attempt_id> checkpoints;
     std::int64_t refusals{0};
-    /// Called with each start; may end it at once.
+    /// Called with each start order; may end the attempt.
     std::function<void(placement::start_order const&)> on_start;
 
 private:
--- a/tests/placement/gang_test.cpp
+++ b/tests/placement/gang_test.cpp
@@ -29,7 +29,7 @@
     BOOST_REQUIRE(taken.has_value());
 }
 
-/// How many tasks of the job run now.
+/// The number of running tasks of the job.
 std::int64_t running_of(fake_cell const& cell, std::string const& job)
 {
     return std::count_if(cell.running.begin(), cell.running.end(),
@@ -58,10 +58,9 @@
 
 BOOST_AUTO_TEST_SUITE(gang)
 
-// A season's reissue runs with all its tasks; one of them is checkpointed while
-// the others are told to stop, and one of those ends well before the stop
-// reaches it. The secretary then waits for ever, because nobody starts the
-// gang's rest again: the success was not taken as the last stop.
+// One task of a running gang is checkpointed, so the others are stopped, and
+// one of those succeeds before the stop reaches it. If that success doesn't
+// count as the last awaited end, the rest of the gang is never restarted.
 BOOST_AUTO_TEST_CASE(a_gang_restarts_when_its_last_stop_is_a_success)
 {
     fake_cell cell;
@@ -72,7 +71,7 @@
     auto const first = cell.running.begin()->first;
     auto const second = cell.running.rbegin()->first;
     auto& ledger = cell.ledgers.at("rack-a");
-    // The stop is on its way while the second task ends.
+    // The stop order is in flight while the second task ends.
     ledger.on_finished(first, model::task_end::checkpointed, cell.now);
     auto const actions = cell.queue().on_finished(
         {first, model::task_end::checkpointed, "w", {}, 1, {}}, cell.now);
@@ -86,10 +85,10 @@
     BOOST_CHECK(cell.outcomes.at("job-1") == model::job_state::succeeded);
 }
 
-// A rack's free room is in pieces: its digest promises three tasks, its two
-// workers take one each. The third would fit into the next rack, but the gang
-// asked the first rack alone, gave back and asked it again, for ever.
-BOOST_AUTO_TEST_CASE(room_in_pieces_does_not_keep_a_gang_waiting)
+// Fragmentation: by its digest a rack has room for three tasks, but its two
+// workers fit one each. The third fits into another rack. A gang that asks only
+// the first rack releases its holds and asks the same rack again for ever.
+BOOST_AUTO_TEST_CASE(fragmented_capacity_does_not_block_a_gang)
 {
     fake_cell cell;
     cell.add_worker("rack-a", "w-1", {2'400, 8'192, 0});
@@ -106,10 +105,10 @@
     BOOST_TEST(running_of(cell, "job-1") == 3);
 }
 
-// Two reissues arrive at two owners in the same instant; each needs more than
-// half of the fleet. If each kept what it got and waited for the rest, neither
-// club would ever see its ratings.
-BOOST_AUTO_TEST_CASE(two_gangs_of_two_owners_both_get_done)
+// Two gangs arrive at two owners at the same time; each needs more than half of
+// the workers. If each kept its holds while waiting for the rest, they would
+// deadlock.
+BOOST_AUTO_TEST_CASE(two_gangs_of_two_owners_do_not_deadlock)
 {
     fake_cell cell{2};
     add_racks(cell, 4, 2);
@@ -137,10 +136,10 @@
     BOOST_TEST(cell.outcomes.size() == 2U);
 }
 
-// The holds of two gangs cross on their way: each has half of the racks when
-// it is refused the other half. Both give back and ask again after a pause; if
-// the pauses were equal they would meet again for ever.
-BOOST_AUTO_TEST_CASE(crossing_holds_do_not_meet_for_ever)
+// Two gangs request holds concurrently, and each gets half of the racks and is
+// refused the other half. Both release their holds and retry after a back-off.
+// With equal back-offs they would livelock.
+BOOST_AUTO_TEST_CASE(concurrent_holds_of_two_gangs_do_not_livelock)
 {
     fake_cell cell{2};
     add_racks(cell, 2, 1);
@@ -159,7 +158,7 @@
             }
             orders[n] = cell.queue(n).decide(cell.now, 100);
         }
-        // The first gets the first rack, the second is ahead at the other.
+        // The first queue reaches rack a first, the second one rack b.
         orders[0] = cell.deliver(0, orders[0]);
         orders[1] = cell.deliver(1, orders[1]);
         while (!orders[0].empty() || !orders[1].empty())
@@ -173,8 +172,8 @@
     BOOST_TEST(rounds < 200);
 }
 
-// Small jobs arrive all the time and fill every gap, so a gang that needs most
-// of the fleet would wait for ever. Room is kept for it after its patience.
+// Small jobs arrive continuously and fill every gap, so a gang that needs most
+// of the workers would starve without a reservation.
 BOOST_AUTO_TEST_CASE(a_large_gang_is_not_starved_by_a_stream_of_small_jobs)
 {
     fake_cell cell;
@@ -210,7 +209,8 @@
         }
     };
     pass(20);
-    // Plans are a little above what was seen: three tasks a worker.
+    // The planned resources exceed the observed peak by a margin, so three
+    // tasks fit on each of the 8 workers.
     BOOST_TEST(cell.running.size() == 24U);
     submit(cell, 0, "large", gang_of(28, {1'000, 1'024, 0}));
     std::int64_t most = 0;
--- a/tests/placement/invariant_test.cpp
+++ b/tests/placement/invariant_test.cpp
@@ -16,8 +16,8 @@
 namespace
 {
 
-/// A long random run of two owners on the same groups: submissions of every
-/// kind, ends of every kind, cancellations, workers that leave.
+/// A random run of two owners on the same groups, with submissions of batch
+/// jobs and gangs, ends of every kind, checkpoints and cancellations.
 class random_run
 {
 public:
@@ -33,7 +33,7 @@
         }
         for (std::int64_t name = 0; name < 10; ++name)
         {
-            // From 0.3 to 1.2 of what is declared.
+            // The actual use is 0.3 to 1.2 times the declared one.
             auto const declared = declared_of(name);
             m_cell.true_peaks["name-" + std::to_string(name)] = {
                 declared.millicores * (name + 3) / 10,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Lets everything come to its end.
+    /// Runs until all jobs have ended.
     void drain()
     {
         for (std::int32_t n = 0; n < 20'000 && left() > 0; ++n)
@@ -178,7 +178,7 @@
         {
             // No task runs in two places at once.
             BOOST_REQUIRE(seen.insert(attempt.task).second);
-            // Nothing runs for a job that is over.
+            // No task of a finished job runs.
             BOOST_REQUIRE(!m_cell.outcomes.contains(attempt.task.job));
         }
         for (std::size_t n = 0; n < 2; ++n)
@@ -198,10 +198,10 @@
 
 BOOST_AUTO_TEST_SUITE(invariants)
 
-// Whatever comes in which order: no worker is planned beyond what it holds, no
-// task runs twice at once, no contract is over its quota, and in the end every
-// job has its outcome and every sum is back at nothing.
-BOOST_DATA_TEST_CASE(long_random_runs_keep_every_limit,
+// Invariants that hold for any order of events: no worker is overcommitted, no
+// task runs twice at the same time, no contract exceeds its quota, and in the
+// end every job has an outcome and all resource sums are 0.
+BOOST_DATA_TEST_CASE(random_runs_keep_all_invariants,
                      boost::unit_test::data::make({1, 2, 3, 4, 5, 6, 7, 8}),
                      seed)
 {
@@ -210,9 +210,9 @@
     it.drain();
 }
 
-// A recorded trace is replayed to see why a job went where it did. Decisions
-// that hang on addresses in memory go another way in each run: what runs was
-// planned anew in the order of its jobs' addresses.
+// Replaying a recorded trace has to give the same decisions. They differed when
+// running tasks were planned again in the order of their jobs' addresses in
+// memory.
 BOOST_AUTO_TEST_CASE(the_same_events_give_the_same_decisions)
 {
     std::vector<std::vector<model::attempt_id>> resized(2);
@@ -231,7 +231,8 @@
             auto const taken = base::capture(
                 [&] { return cell.queue().submit(id, request, cell.now); });
             BOOST_REQUIRE(taken.has_value());
-            // The second run's jobs lie elsewhere.
+            // Allocations of other sizes give the second run's jobs other
+            // addresses.
             moved.emplace_back(order.size() + n * moved.size() % 1'000, 'x');
         }
         cell.step();
--- a/tests/placement/ledger_test.cpp
+++ b/tests/placement/ledger_test.cpp
@@ -47,7 +47,8 @@
     return ledger;
 }
 
-/// Holds and commits; the worker chosen, or nothing.
+/// Holds and commits an attempt. Returns the worker, or an empty string if the
+/// hold is refused.
 std::string start(placement::group_ledger& ledger,
                   placement::hold_request const& request,
                   base::instant now)
@@ -87,16 +88,20 @@
 }
 
 std::array const s_holds{
-    hold_case{"what fits", {2'000, 1'024, 0}, hold_state::held},
-    hold_case{"larger than what is left", {3'000, 1'024, 0}, hold_state::full},
-    hold_case{"more cores than any", {5'000, 1, 0}, hold_state::never_fits},
-    hold_case{"more memory than any", {1, 9'000, 0}, hold_state::never_fits},
-    hold_case{"no accelerator here", {1, 1, 1}, hold_state::never_fits},
+    hold_case{"fits", {2'000, 1'024, 0}, hold_state::held},
+    hold_case{
+        "larger than the free capacity", {3'000, 1'024, 0}, hold_state::full},
+    hold_case{
+        "more cores than any worker", {5'000, 1, 0}, hold_state::never_fits},
+    hold_case{
+        "more memory than any worker", {1, 9'000, 0}, hold_state::never_fits},
+    hold_case{
+        "no worker with an accelerator", {1, 1, 1}, hold_state::never_fits},
 };
 
 } // namespace
 
-BOOST_DATA_TEST_CASE(a_hold_is_answered_exactly, s_holds, it)
+BOOST_DATA_TEST_CASE(a_hold_is_answered_by_free_capacity, s_holds, it)
 {
     auto ledger = ledger_with(1);
     ledger.hold(hold_of("first", "daily", {2'000, 1'024, 0}), at(2), at(0));
@@ -105,10 +110,9 @@
     BOOST_CHECK(found.answer.state == it.answer);
 }
 
-// An owner asks for holds and dies before it commits. Its room must not be
-// lost: the hold ends by itself, a commit that comes later starts nothing, and
-// the next job gets the room.
-BOOST_AUTO_TEST_CASE(a_hold_ends_by_itself_and_cannot_be_committed_later)
+// A job owner crashes between hold and commit. The hold expires, so that its
+// resources are free for the next job, and a late commit starts nothing.
+BOOST_AUTO_TEST_CASE(an_expired_hold_cannot_be_committed)
 {
     auto ledger = ledger_with(1);
     auto const lost = hold_of("lost", "daily", {4'000, 1'024, 0});
@@ -121,9 +125,10 @@
     BOOST_TEST(start(ledger, next, at(2)) == "w-0");
 }
 
-// The answer to a hold is lost and the owner asks again. The room must be
-// counted once, and a repeat after the start must not start a second time.
-BOOST_AUTO_TEST_CASE(a_repeated_hold_counts_once)
+// The answer to a hold is lost and the owner repeats the request. The resources
+// must be allocated once, and a repeat after the start must not start the task
+// a second time.
+BOOST_AUTO_TEST_CASE(a_repeated_hold_is_idempotent)
 {
     auto ledger = ledger_with(1);
     auto const it = hold_of("job", "daily", {3'000, 1'024, 0});
@@ -135,9 +140,9 @@
     BOOST_TEST(ledger.worker_summaries().front().planned.millicores == 3'000);
 }
 
-// A task is told to stop, and the worker takes a while. Its room is not free
-// before the worker says that it has ended, or two tasks would share it.
-BOOST_AUTO_TEST_CASE(a_stopped_task_keeps_its_room_until_it_has_ended)
+// A worker takes a while to stop a task. The task's resources must stay
+// allocated until the worker reports its end, or two tasks would share them.
+BOOST_AUTO_TEST_CASE(a_stopping_task_keeps_its_resources_until_it_has_ended)
 {
     auto ledger = ledger_with(1);
     auto const first = hold_of("first", "daily", {4'000, 1'024, 0});
@@ -152,9 +157,8 @@
     BOOST_TEST(start(ledger, next, at(2)) == "w-0");
 }
 
-// A planned stop of a worker is announced: it must get nothing new from that
-// instant on, while what it runs stays counted.
-BOOST_AUTO_TEST_CASE(a_leaving_worker_gets_nothing_new)
+// Once the planned stop of a worker is announced it must get no new tasks.
+BOOST_AUTO_TEST_CASE(a_leaving_worker_gets_no_tasks)
 {
     auto ledger = ledger_with(2);
     model::endpoint it;
@@ -173,9 +177,9 @@
             .answer.state == hold_state::full);
 }
 
-// A report says twice what was declared, and reports come late. First the task
-// is throttled; when the memory still grows to the worker's end, the cheapest
-// task is checkpointed and not an urgent one, before the worker is full.
+// A task uses more than planned, and reports lag behind. It is throttled first.
+// If memory use still approaches the worker's capacity, the cheapest task is
+// checkpointed before the worker is full, and not the urgent one.
 BOOST_AUTO_TEST_CASE(growing_use_is_throttled_then_checkpointed)
 {
     auto ledger = ledger_with(1);
@@ -205,9 +209,9 @@
     BOOST_CHECK(second.front().attempt == grows.attempt);
 }
 
-// A worker process restarts on its machine and its tasks are gone: they are in
-// no report any more and no end ever comes for them.
-BOOST_AUTO_TEST_CASE(a_task_that_is_in_no_report_any_more_is_lost)
+// A worker process restarts and loses its tasks: they are missing from its
+// reports, and their ends are never reported.
+BOOST_AUTO_TEST_CASE(a_task_missing_from_reports_is_lost)
 {
     auto ledger = ledger_with(1);
     auto const it = hold_of("job", "daily", {4'000, 1'024, 0});
@@ -220,9 +224,9 @@
     BOOST_TEST(ledger.digest().free.millicores == 4'000);
 }
 
-// A new owner takes a group over and finds tasks running. They count, also
-// where they are more than the worker holds, and nothing is placed on top.
-BOOST_AUTO_TEST_CASE(what_is_found_on_takeover_is_counted)
+// A new owner takes over a group with running tasks. They must be accounted
+// for, even if they exceed the worker's capacity, so that no task is added.
+BOOST_AUTO_TEST_CASE(running_tasks_are_accounted_for_on_takeover)
 {
     auto ledger = ledger_with(1);
     auto const found = hold_of("found", "daily", {5'000, 1'024, 0});
@@ -232,10 +236,10 @@
     BOOST_TEST(ledger.worker_of(found.attempt) == "w-0");
 }
 
-// One worker fails everything within a moment, is therefore always the emptiest
-// and draws every job to itself. It is set aside, probed after a while with one
-// task, and taken back when that one succeeds.
-BOOST_AUTO_TEST_CASE(a_worker_that_fails_everything_is_set_aside)
+// A worker that fails every task immediately is always the emptiest and would
+// attract every job. It is quarantined, probed later with one task, and
+// returned to service when that succeeds.
+BOOST_AUTO_TEST_CASE(a_worker_that_fails_everything_is_quarantined)
 {
     auto ledger = ledger_with(2);
     ledger.set_cell_failure_rate(0.05);
@@ -269,9 +273,9 @@
                 placement::health::good);
 }
 
-// One job fails wherever it runs. The workers must not be blamed for it, or a
-// crash loop of one customer would take the whole rack from all others.
-BOOST_AUTO_TEST_CASE(a_job_that_fails_everywhere_sets_no_worker_aside)
+// One job fails on every worker. The workers must not be quarantined for it, or
+// a crash loop of one contract would take the rack from all others.
+BOOST_AUTO_TEST_CASE(a_job_that_fails_everywhere_quarantines_no_worker)
 {
     auto ledger = ledger_with(3);
     ledger.set_cell_failure_rate(0.05);
@@ -290,10 +294,10 @@
     }
 }
 
-// Urgent work arrives while the rack is full of a customer's batch tasks that
-// may be moved. The youngest is checkpointed, and the room that it leaves goes
-// to the urgent task and to nobody who asks in between.
-BOOST_AUTO_TEST_CASE(urgent_work_gets_the_room_that_was_made_for_it)
+// An urgent task arrives while the rack is full of preemptible batch tasks. The
+// youngest is checkpointed, and its resources go to the urgent task and not to
+// another request that arrives in between.
+BOOST_AUTO_TEST_CASE(an_urgent_task_gets_the_resources_freed_for_it)
 {
     auto ledger = ledger_with(1);
     auto old = hold_of("old", "monthly", {2'000, 1'024, 0});
--- a/tests/placement/path_test.cpp
+++ b/tests/placement/lifecycle_test.cpp
@@ -5,7 +5,7 @@
 using namespace berylhill;
 using namespace berylhill::placement_test;
 
-BOOST_AUTO_TEST_SUITE(path)
+BOOST_AUTO_TEST_SUITE(job_lifecycle)
 
 BOOST_AUTO_TEST_CASE(a_batch_job_runs_to_its_outcome)
 {
@@ -17,7 +17,8 @@
     request.tasks = 6;
     BOOST_REQUIRE(cell.queue().submit("job-1", request, cell.now));
     cell.step();
-    // Nothing is known of the name: each is planned at 1.6 of its declaration.
+    // Without history each task is planned at 1.6 times its declaration, so two
+    // fit.
     BOOST_TEST(cell.running.size() == 2U);
     while (!cell.running.empty())
     {
--- a/tests/placement/queue_test.cpp
+++ b/tests/placement/queue_test.cpp
@@ -31,7 +31,7 @@
                          { return it.first.task.job.starts_with(contract); });
 }
 
-/// Workers of 16 cores and two contracts without narrow limits.
+/// Workers of 16 cores in up to four racks, and two contracts with high limits.
 fake_cell cell_of(std::int32_t workers)
 {
     fake_cell cell;
@@ -85,9 +85,9 @@
 
 } // namespace
 
-// A secretary submits a job that no worker could ever run. Accepted, it would
-// wait for ever and look like a slow day; it is refused with the reason.
-BOOST_DATA_TEST_CASE(what_can_never_run_is_refused, s_rejected, it)
+// A job that can never run must be refused with the reason. If it were
+// accepted, it would wait for ever.
+BOOST_DATA_TEST_CASE(impossible_jobs_are_rejected, s_rejected, it)
 {
     auto cell = cell_of(8);
     auto narrow = wide_contract("narrow");
@@ -104,9 +104,9 @@
     BOOST_TEST(taken.error().message.find(it.says) != std::string::npos);
 }
 
-// A large job is first in the queue and fits nowhere now. The small ones behind
-// it must start all the same.
-BOOST_AUTO_TEST_CASE(what_fits_nowhere_now_blocks_nobody)
+// Head-of-line blocking: a large job at the front of the queue fits nowhere
+// now. Smaller jobs behind it must still start.
+BOOST_AUTO_TEST_CASE(a_job_that_does_not_fit_does_not_block_others)
 {
     auto cell = cell_of(1);
     submit(cell, "kitakaze-0", request_of("kitakaze", "half", {8'000, 1, 0}));
@@ -118,9 +118,9 @@
     BOOST_TEST(cell.running.size() == 2U);
 }
 
-// A worker is gone with its tasks. An idempotent task runs again under a higher
-// number, and a late result of the first attempt changes nothing; a task that
-// may run only once is not run again, and its job says that nobody knows.
+// A worker is lost with its tasks. An idempotent task runs again under a higher
+// attempt number, and a late result of the first attempt is ignored. An
+// at-most-once task is not run again, and its job ends as `outcome_unknown`.
 BOOST_AUTO_TEST_CASE(a_lapsed_attempt_is_placed_again_under_a_new_number)
 {
     auto cell = cell_of(1);
@@ -148,8 +148,8 @@
     BOOST_CHECK(cell.outcomes.at("kitakaze-1") == model::job_state::succeeded);
 }
 
-// A task takes worker after worker down with it, and all others' work there.
-BOOST_AUTO_TEST_CASE(a_task_that_loses_every_worker_is_given_up)
+// A task crashes every worker it runs on, together with the other tasks there.
+BOOST_AUTO_TEST_CASE(a_task_that_loses_every_worker_fails)
 {
     constexpr int most_starts = 5;
     constexpr int rounds = 12;
@@ -171,8 +171,9 @@
     BOOST_CHECK(cell.outcomes.at("kitakaze-1") == model::job_state::failed);
 }
 
-// A service loses its worker now and then, for months.
-BOOST_AUTO_TEST_CASE(a_task_that_ran_for_long_is_not_given_up_for_lost_workers)
+// A task loses its worker now and then, each time after a long run. It must not
+// be given up as the cause.
+BOOST_AUTO_TEST_CASE(a_task_with_long_runs_does_not_fail_for_lost_workers)
 {
     constexpr int losses = 20;
     constexpr double long_run_s = 120;
@@ -188,9 +189,9 @@
     BOOST_TEST(!cell.outcomes.contains("kitakaze-1"));
 }
 
-// A job is cancelled while its start is on its way. The start's answer arrives
-// afterwards: the task must be stopped, not forgotten while it runs.
-BOOST_AUTO_TEST_CASE(a_start_that_crosses_a_cancellation_is_stopped)
+// A job is cancelled while a start order is in flight. When the answer arrives,
+// the task must be stopped, or it would run on untracked.
+BOOST_AUTO_TEST_CASE(a_start_in_flight_during_cancellation_is_stopped)
 {
     auto cell = cell_of(1);
     submit(cell, "kitakaze-1", request_of("kitakaze", "daily", {1'000, 1, 0}));
@@ -205,10 +206,10 @@
     BOOST_TEST(cell.queue().usage_of("kitakaze").millicores == 0);
 }
 
-// Ten thousand cancellations arrive within a second. The others must still be
-// placed in their order, none of the cancelled may start, and the sums of the
-// contract must be right afterwards.
-BOOST_AUTO_TEST_CASE(a_wave_of_cancellations_leaves_the_queue_right)
+// Ten thousand jobs are cancelled at once. The other jobs must still be placed,
+// no cancelled job may start, the contract's sums must be right afterwards, and
+// the cancellations must not take quadratic time.
+BOOST_AUTO_TEST_CASE(many_cancellations_leave_the_queue_consistent)
 {
     auto cell = cell_of(8);
     auto const request = request_of("kitakaze", "daily", {1'000, 1, 0});
@@ -247,8 +248,8 @@
     BOOST_TEST(cell.queue().usage_of("kitakaze").millicores == 0);
 }
 
-// One customer's reports fill the whole cell. Another's first jobs must not
-// wait behind thousands of them: who uses least of its share is next.
+// Two contracts with more work than the cell fits share it by their weights:
+// the one that uses least of its share is served next.
 BOOST_AUTO_TEST_CASE(contracts_share_by_weight)
 {
     auto cell = cell_of(8);
@@ -269,10 +270,9 @@
     BOOST_TEST(running_of(cell, "cantabrica") <= light * 3 + 3);
 }
 
-// A report turns out to need more than its like did so far, while its contract
-// is used to the full. What runs is planned anew, but never so that the
-// contract would use more than its quota.
-BOOST_AUTO_TEST_CASE(planning_anew_stays_within_the_quota)
+// Tasks need more than similar ones did before, while their contract's quota is
+// used up. Running tasks are planned again, but never beyond the quota.
+BOOST_AUTO_TEST_CASE(replanning_stays_within_the_quota)
 {
     auto cell = cell_of(4);
     auto narrow = wide_contract("kitakaze");
@@ -295,8 +295,8 @@
     BOOST_TEST(cell.nothing_overfull());
 }
 
-// Race results are urgent and come while the queue is long. Within the quota
-// they start first; beyond it they are normal work, and normal work starts too.
+// Urgent jobs arrive while the queue is long. Within the urgent quota they
+// start first; beyond it they count as normal work, and normal work starts too.
 BOOST_AUTO_TEST_CASE(urgent_work_goes_first_within_its_quota)
 {
     auto cell = cell_of(1);
@@ -321,9 +321,8 @@
     BOOST_TEST(running_of(cell, "kitakaze") >= 4);
 }
 
-// A job crashes at once wherever it starts. It is tried again ever more slowly
-// and, when several workers have failed it, it is given up with the reason; a
-// service is never given up, since it has to run.
+// A job crashes immediately on every worker. It is retried with an exponential
+// back-off and fails after a bounded number of starts.
 BOOST_AUTO_TEST_CASE(a_crash_loop_backs_off_and_ends)
 {
     auto cell = cell_of(4);
@@ -344,8 +343,8 @@
     BOOST_CHECK(cell.outcomes.at("kitakaze-1") == model::job_state::failed);
 }
 
-// A service has a task in each of two zones; one zone goes dark. With both
-// tasks in one zone the app's check would have stopped answering.
+// A service must survive the loss of a zone, so its tasks are spread over
+// zones.
 BOOST_AUTO_TEST_CASE(a_service_spreads_over_zones)
 {
     auto cell = cell_of(8);
