--- a/tests/workload/account_table_test.cpp
+++ b/tests/workload/account_table_test.cpp
@@ -21,7 +21,7 @@
 {
     char const* name;
     std::string key;
-    /// Empty: it names none.
+    /// Empty: the key belongs to no account.
     std::string owner;
 };
 
@@ -34,20 +34,20 @@
     {"a key", "k1", "first"},
     {"the second key of an account", "k2", "first"},
     {"a key of another account", "k3", "second"},
-    {"a key that two accounts name stays with the first", "both", "first"},
-    {"a key that nobody has", "k4", ""},
+    {"a duplicate key belongs to the first account", "both", "first"},
+    {"an unknown key", "k4", ""},
     {"no key", "", ""},
     {"a key in capitals", "K1", ""},
-    {"a key with more behind it", "k1 ", ""},
+    {"a key with a trailing space", "k1 ", ""},
     {"a key of 10 kB", std::string(10'240, 'k'), ""},
-    {"bytes that are no text", "\xff\xfe", ""},
+    {"invalid UTF-8", "\xff\xfe", ""},
 };
 
 struct invalid_case
 {
     char const* name;
     workload::account_spec second;
-    /// A part of what is found; empty: nothing is.
+    /// A part of the text of the findings; empty: no findings.
     std::string found;
 };
 
@@ -62,23 +62,24 @@
 }
 
 invalid_case const invalid_cases[] = {
-    {"nothing", account("second", {"secret"}), ""},
+    {"a valid account", account("second", {"secret"}), ""},
     {"a key of another account", account("second", {"x", "k1"}),
      "/accounts/second/keys/1"},
     {"a name of another account", account("first", {"secret"}),
      "/accounts/first"},
-    {"a weight below 0", account("second", {"secret"}, -1),
+    {"a negative weight", account("second", {"secret"}, -1),
      "/accounts/second/weight"},
-    {"a cap below 0: processor", capped({-1, 0, 0}), "/accounts/second/cap"},
-    {"a cap below 0: memory", capped({0, -1, 0}), "/accounts/second/cap"},
-    {"a cap below 0: accelerators", capped({0, 0, -1}), "/accounts/second/cap"},
+    {"a negative cap: processor", capped({-1, 0, 0}), "/accounts/second/cap"},
+    {"a negative cap: memory", capped({0, -1, 0}), "/accounts/second/cap"},
+    {"a negative cap: accelerators", capped({0, 0, -1}),
+     "/accounts/second/cap"},
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(account_table)
 
-BOOST_DATA_TEST_CASE(a_key_names_its_account,
+BOOST_DATA_TEST_CASE(a_key_identifies_its_account,
                      boost::unit_test::data::make(keys))
 {
     workload::account_table const table{{account("first", {"k1", "k2", "both"}),
@@ -87,7 +88,7 @@
     BOOST_TEST((owner == nullptr ? "" : owner->name) == sample.owner);
 }
 
-BOOST_DATA_TEST_CASE(what_is_wrong_is_found_with_its_place,
+BOOST_DATA_TEST_CASE(errors_are_found_with_their_location,
                      boost::unit_test::data::make(invalid_cases))
 {
     auto const found = workload::check(
