--- a/libraries/placement/contract_account.cpp
+++ b/libraries/placement/contract_account.cpp
@@ -89,7 +89,7 @@
         std::min(m_retry_tokens + s_tokens_per_first_start, s_max_retry_tokens);
 }
 
-bool contract_account::take_retry()
+bool contract_account::take_retry_token()
 {
     if (m_retry_tokens < 1)
     {
--- a/libraries/placement/contract_account.hpp
+++ b/libraries/placement/contract_account.hpp
@@ -62,7 +62,7 @@
     /// displace work that would succeed, because retries stay a fixed share of
     /// first starts.
     void note_first_start();
-    [[nodiscard]] bool take_retry();
+    [[nodiscard]] bool take_retry_token();
 
     std::int64_t jobs{0};
     /// Classes with waiting jobs.
--- a/libraries/placement/estimator.cpp
+++ b/libraries/placement/estimator.cpp
@@ -141,7 +141,7 @@
                 declared.accelerators};
     };
     result.peak = planned(margin);
-    result.least = planned(1);
+    result.peak_without_margin = planned(1);
     return result;
 }
 
--- a/libraries/placement/estimator.hpp
+++ b/libraries/placement/estimator.hpp
@@ -19,7 +19,7 @@
     /// at most the capacity of the largest worker.
     model::resources peak;
     /// The expected peak use without the safety margin.
-    model::resources least;
+    model::resources peak_without_margin;
     /// The 90th percentile of the run time in seconds; the declared run time
     /// while no task of this name has ended.
     double run_s{0};
--- a/libraries/placement/failure_history.cpp
+++ b/libraries/placement/failure_history.cpp
@@ -44,9 +44,9 @@
     }
 }
 
-double failure_history::likely(std::string const& job_name,
-                               std::string const& worker,
-                               double cell_rate) const
+double failure_history::failure_probability(std::string const& job_name,
+                                            std::string const& worker,
+                                            double cell_rate) const
 {
     constexpr double prior_ended = 2;
     constexpr double prior_failed = 1;
--- a/libraries/placement/failure_history.hpp
+++ b/libraries/placement/failure_history.hpp
@@ -18,9 +18,9 @@
 
     /// The probability, 0 to 1, that the job fails on a worker other than
     /// `worker`; at least `cell_rate`, and at least 0.5 without history.
-    [[nodiscard]] double likely(std::string const& job_name,
-                                std::string const& worker,
-                                double cell_rate) const;
+    [[nodiscard]] double failure_probability(std::string const& job_name,
+                                             std::string const& worker,
+                                             double cell_rate) const;
 
 private:
     struct counts
--- a/libraries/placement/group_ledger.cpp
+++ b/libraries/placement/group_ledger.cpp
@@ -142,8 +142,8 @@
     if (failed || end == model::task_end::succeeded)
     {
         auto const name = ended.request.contract + '/' + ended.request.name;
-        auto const likely =
-            m_history.likely(name, ended.worker, m_cell_failure_rate);
+        auto const likely = m_history.failure_probability(name, ended.worker,
+                                                          m_cell_failure_rate);
         on.condition.ended(failed, likely, now);
         m_history.add(name, ended.worker, failed);
         m_ended += 1;
@@ -200,12 +200,12 @@
         on.condition.attempt_gone();
         erase(it);
     }
-    auto const relief = relieve_worker(on);
+    auto const relief = act_on_overuse(on);
     actions.insert(actions.end(), relief.begin(), relief.end());
     return actions;
 }
 
-std::vector<ledger_action> group_ledger::relieve_worker(worker_state& on)
+std::vector<ledger_action> group_ledger::act_on_overuse(worker_state& on)
 {
     std::vector<task_use> uses;
     for (auto const& attempt : on.tasks)
@@ -215,7 +215,8 @@
                         it.request.safety, it.since, it.throttled,
                         it.checkpointing || it.at == phase::stopping});
     }
-    auto actions = relieve(on.listed.id, on.listed.capacity, std::move(uses));
+    auto actions = actions_against_overuse(on.listed.id, on.listed.capacity,
+                                           std::move(uses));
     for (auto const& it : actions)
     {
         auto& known = m_tasks.at(it.attempt);
--- a/libraries/placement/group_ledger.hpp
+++ b/libraries/placement/group_ledger.hpp
@@ -189,20 +189,20 @@
     [[nodiscard]] static bool takes_new(worker_state const& it);
     [[nodiscard]] static model::resources
     free_for(worker_state const& it, model::attempt_id const& attempt);
-    [[nodiscard]] bool kept_for_other(hold_request const& request,
-                                      base::instant now) const;
+    [[nodiscard]] bool reserved_for_other(hold_request const& request,
+                                          base::instant now) const;
     [[nodiscard]] worker_state* best_worker(hold_request const& request);
     [[nodiscard]] candidate candidate_of(worker_state const& it,
                                          hold_request const& request) const;
     [[nodiscard]] bool could_fit(model::resources const& need) const;
-    hold_result make_room(hold_request const& request, base::instant now);
+    hold_result preempt_for(hold_request const& request, base::instant now);
     [[nodiscard]] std::vector<model::attempt_id>
     victims_on(worker_state const& it, hold_request const& request) const;
     void place(worker_state& it, task_state placed);
     void erase(model::attempt_id const& attempt);
     void note_use(task_state& it, model::resources const& used);
     void advance(base::instant now);
-    std::vector<ledger_action> relieve_worker(worker_state& it);
+    std::vector<ledger_action> act_on_overuse(worker_state& it);
 
     std::string m_group;
     std::string m_zone;
--- a/libraries/placement/group_ledger_hold.cpp
+++ b/libraries/placement/group_ledger_hold.cpp
@@ -35,8 +35,8 @@
     return not_negative(left);
 }
 
-bool group_ledger::kept_for_other(hold_request const& request,
-                                  base::instant now) const
+bool group_ledger::reserved_for_other(hold_request const& request,
+                                      base::instant now) const
 {
     if (!m_reservation || m_reservation->job == request.attempt.task.job ||
         request.urgent == model::urgency::urgent)
@@ -117,14 +117,14 @@
     {
         return {{hold_state::never_fits, {}}, {}};
     }
-    if (kept_for_other(request, now))
+    if (reserved_for_other(request, now))
     {
         return {{hold_state::reserved, {}}, {}};
     }
     auto* const on = best_worker(request);
     if (on == nullptr)
     {
-        return request.may_preempt ? make_room(request, now)
+        return request.may_preempt ? preempt_for(request, now)
                                    : hold_result{{hold_state::full, {}}, {}};
     }
     if (on->claimed && on->claimed->attempt.task == request.attempt.task)
@@ -196,8 +196,8 @@
                                       : std::vector<model::attempt_id>{};
 }
 
-hold_result group_ledger::make_room(hold_request const& request,
-                                    base::instant now)
+hold_result group_ledger::preempt_for(hold_request const& request,
+                                      base::instant now)
 {
     worker_state* best = nullptr;
     std::vector<model::attempt_id> fewest;
--- a/libraries/placement/group_table.cpp
+++ b/libraries/placement/group_table.cpp
@@ -98,10 +98,10 @@
     }
 }
 
-bool group_table::kept_for_other(std::size_t index,
-                                 job_record const& job,
-                                 double run_s,
-                                 base::instant now) const
+bool group_table::reserved_for_other(std::size_t index,
+                                     job_record const& job,
+                                     double run_s,
+                                     base::instant now) const
 {
     auto const& it = m_groups[index];
     if (!it.reserved_for.empty() && now < it.reserved_until)
@@ -127,7 +127,7 @@
     {
         return false;
     }
-    return !room.reserved || !kept_for_other(index, job, run_s, now);
+    return !room.reserved || !reserved_for_other(index, job, run_s, now);
 }
 
 std::int32_t group_table::choose(job_record const& job,
--- a/libraries/placement/group_table.hpp
+++ b/libraries/placement/group_table.hpp
@@ -114,10 +114,10 @@
                             model::resources const& need,
                             double run_s,
                             base::instant now) const;
-    [[nodiscard]] bool kept_for_other(std::size_t index,
-                                      job_record const& job,
-                                      double run_s,
-                                      base::instant now) const;
+    [[nodiscard]] bool reserved_for_other(std::size_t index,
+                                          job_record const& job,
+                                          double run_s,
+                                          base::instant now) const;
     void sum_up();
 
     std::vector<room_view> m_rooms;
--- a/libraries/placement/job_queue.cpp
+++ b/libraries/placement/job_queue.cpp
@@ -250,7 +250,7 @@
     m_waiting_tasks += 1;
 }
 
-void job_queue::forget_waiting(job_record& job)
+void job_queue::clear_waiting(job_record& job)
 {
     m_waiting_tasks -= static_cast<std::int64_t>(job.waiting.size());
     job.waiting.clear();
@@ -301,12 +301,12 @@
     {
         account.refund(it);
     }
-    forget_waiting(job);
+    clear_waiting(job);
     account.jobs -= 1;
     job.state = state;
     if (job.queued)
     {
-        job.of_class->dead += 1;
+        job.of_class->finished += 1;
     }
     auto& members = job.of_class->members;
     members[job.member_at] = members.back();
--- a/libraries/placement/job_queue.hpp
+++ b/libraries/placement/job_queue.hpp
@@ -182,7 +182,7 @@
     [[nodiscard]] contract_account& account_of(job_record const& it);
     void enqueue(job_pointer const& job);
     void make_waiting(job_record& job, std::int32_t index);
-    void forget_waiting(job_record& job);
+    void clear_waiting(job_record& job);
     std::shared_ptr<work_class> class_of(job_record const& job);
     queue_actions release_all(job_record& job);
     queue_actions
@@ -200,7 +200,7 @@
     next_class(contract_account& it, bool urgent, base::instant now);
     [[nodiscard]] double order_key(contract_account const& account,
                                    work_class const& it) const;
-    void drop_dead_front(work_class& it);
+    void remove_finished_jobs(work_class& it);
     void sweep(contract_account& account);
     void refresh(work_class& it);
     [[nodiscard]] bool can_ever_fit(job_record const& job,
@@ -228,7 +228,7 @@
                         base::instant now,
                         queue_actions& actions);
     queue_actions gang_answered(job_pointer const& job, base::instant now);
-    queue_actions give_up_gang(job_pointer const& job, base::instant now);
+    queue_actions release_gang(job_pointer const& job, base::instant now);
     queue_actions restart_gang(job_pointer const& job, base::instant now);
 
     // Reservations (job_queue_reserve.cpp).
@@ -238,14 +238,14 @@
     reserve_for(job_record const& job, base::instant now, queue_actions& to);
     void drop_reservation(std::string const& job);
 
-    void note_learnt(std::shared_ptr<work_class> const& it);
+    void mark_for_replan(std::shared_ptr<work_class> const& it);
     void replan(queue_actions& to);
     void replan_job(job_record& job, queue_actions& to);
 
     // Events of attempts (job_queue_events.cpp).
     task_record* current(job_pointer const& job,
                          model::attempt_id const& attempt);
-    void settle(job_record& job, task_record& it);
+    void stop_accounting(job_record& job, task_record& it);
     queue_actions
     task_done(job_pointer const& job, std::int32_t index, base::instant now);
     queue_actions task_failed(job_pointer const& job,
@@ -275,7 +275,7 @@
     std::int32_t m_urgent_in_row{0};
     std::int64_t m_waiting_tasks{0};
     /// Classes whose estimate has changed since their tasks were planned.
-    std::vector<std::shared_ptr<work_class>> m_learnt;
+    std::vector<std::shared_ptr<work_class>> m_to_replan;
 };
 
 } // namespace berylhill::placement
--- a/libraries/placement/job_queue_decide.cpp
+++ b/libraries/placement/job_queue_decide.cpp
@@ -130,7 +130,7 @@
     return placed;
 }
 
-void job_queue::drop_dead_front(work_class& it)
+void job_queue::remove_finished_jobs(work_class& it)
 {
     while (!it.jobs.empty())
     {
@@ -140,17 +140,18 @@
         {
             break;
         }
-        it.dead -= dead ? 1 : 0;
+        it.finished -= dead ? 1 : 0;
         front->queued = false;
         it.jobs.pop_front();
     }
-    if (it.dead < s_min_finished_to_sweep || it.dead * 2 < it.jobs.size())
+    if (it.finished < s_min_finished_to_sweep ||
+        it.finished * 2 < it.jobs.size())
     {
         return;
     }
     std::erase_if(it.jobs,
                   [](auto const& job) { return model::is_final(job->state); });
-    it.dead = 0;
+    it.finished = 0;
 }
 
 void job_queue::refresh(work_class& it)
@@ -168,7 +169,7 @@
     // not wait for ever because of it.
     if (!can_ever_fit(*it.jobs.front(), it.need))
     {
-        it.need = found.least;
+        it.need = found.peak_without_margin;
     }
 }
 
@@ -212,7 +213,7 @@
     std::erase_if(account.active,
                   [&](auto const& each)
                   {
-                      drop_dead_front(*each);
+                      remove_finished_jobs(*each);
                       each->active = !each->jobs.empty();
                       account.active_urgent -=
                           !each->active && each->urgent ? 1 : 0;
--- a/libraries/placement/job_queue_events.cpp
+++ b/libraries/placement/job_queue_events.cpp
@@ -49,7 +49,7 @@
     return it.number == attempt.number ? &it : nullptr;
 }
 
-void job_queue::settle(job_record& job, task_record& it)
+void job_queue::stop_accounting(job_record& job, task_record& it)
 {
     if (it.phase == task_phase::ordered)
     {
@@ -139,7 +139,7 @@
     {
         m_groups.refused(it->group, it->planned);
     }
-    settle(*job, *it);
+    stop_accounting(*job, *it);
     auto const gang = job->request.kind == model::job_kind::gang;
     if (gang && it->phase == task_phase::ordered)
     {
@@ -155,7 +155,7 @@
         job->not_before = now + s_refused_pause;
         return late_commit || job->state == model::job_state::running
                    ? restart_gang(job, now)
-                   : give_up_gang(job, now);
+                   : release_gang(job, now);
     }
     auto const making_room = why == hold_state::preempting;
     it->claimed_group = making_room ? group : -1;
@@ -207,7 +207,7 @@
     {
         return {};
     }
-    settle(*job, *it);
+    stop_accounting(*job, *it);
     auto const index = end.attempt.task.index;
     auto const once = job->request.safety == model::rerun::at_most_once;
     switch (end.end)
@@ -215,7 +215,7 @@
     case model::task_end::succeeded:
         if (m_estimator.learn(job->id, job->request, end.peak, end.run_s))
         {
-            note_learnt(job->of_class);
+            mark_for_replan(job->of_class);
         }
         if (job->request.kind == model::job_kind::service)
         {
@@ -298,7 +298,7 @@
     auto const doublings = std::min(job->failures_in_row - 1, s_max_doublings);
     auto longest =
         std::min(s_first_back_off_s * (1 << doublings), s_max_back_off_s);
-    if (!account_of(*job).take_retry())
+    if (!account_of(*job).take_retry_token())
     {
         longest += s_no_token_delay_s;
     }
--- a/libraries/placement/job_queue_gang.cpp
+++ b/libraries/placement/job_queue_gang.cpp
@@ -115,7 +115,7 @@
     if (!job->waiting.empty())
     {
         ask_next_group(job, now, actions);
-        return actions.holds.empty() ? give_up_gang(job, now) : actions;
+        return actions.holds.empty() ? release_gang(job, now) : actions;
     }
     for (std::int32_t index = 0; index < job->request.tasks; ++index)
     {
@@ -133,7 +133,7 @@
     return actions;
 }
 
-queue_actions job_queue::give_up_gang(job_pointer const& job, base::instant now)
+queue_actions job_queue::release_gang(job_pointer const& job, base::instant now)
 {
     auto actions = release_all(*job);
     auto& account = account_of(*job);
--- a/libraries/placement/job_queue_reserve.cpp
+++ b/libraries/placement/job_queue_reserve.cpp
@@ -155,18 +155,18 @@
     }
 }
 
-void job_queue::note_learnt(std::shared_ptr<work_class> const& it)
+void job_queue::mark_for_replan(std::shared_ptr<work_class> const& it)
 {
     if (!it->replan)
     {
         it->replan = true;
-        m_learnt.push_back(it);
+        m_to_replan.push_back(it);
     }
 }
 
 void job_queue::replan(queue_actions& to)
 {
-    for (auto const& each : std::exchange(m_learnt, {}))
+    for (auto const& each : std::exchange(m_to_replan, {}))
     {
         each->replan = false;
         for (auto* const job : each->members)
--- a/libraries/placement/job_record.hpp
+++ b/libraries/placement/job_record.hpp
@@ -91,7 +91,7 @@
     bool urgent{false};
     std::deque<std::shared_ptr<job_record>> jobs;
     /// The number of finished jobs that are still in `jobs`.
-    std::size_t dead{0};
+    std::size_t finished{0};
     /// The planned resources of one task and its expected run time.
     model::resources need;
     double run_s{0};
--- a/libraries/placement/overuse.cpp
+++ b/libraries/placement/overuse.cpp
@@ -51,9 +51,10 @@
 
 } // namespace
 
-std::vector<ledger_action> relieve(std::string const& worker,
-                                   model::resources const& capacity,
-                                   std::vector<task_use> tasks)
+std::vector<ledger_action>
+actions_against_overuse(std::string const& worker,
+                        model::resources const& capacity,
+                        std::vector<task_use> tasks)
 {
     std::vector<ledger_action> actions;
     model::resources charged;
--- a/libraries/placement/overuse.hpp
+++ b/libraries/placement/overuse.hpp
@@ -34,8 +34,8 @@
 /// memory use still exceeds 95% of the worker, tasks are checkpointed, the
 /// cheapest first, before the worker is full.
 [[nodiscard]] std::vector<ledger_action>
-relieve(std::string const& worker,
-        model::resources const& capacity,
-        std::vector<task_use> tasks);
+actions_against_overuse(std::string const& worker,
+                        model::resources const& capacity,
+                        std::vector<task_use> tasks);
 
 } // namespace berylhill::placement
--- a/libraries/placement/worker_health.cpp
+++ b/libraries/placement/worker_health.cpp
@@ -21,7 +21,7 @@
     m_probe_out = false;
     if (!failed)
     {
-        m_chance = 1;
+        m_failure_run_probability = 1;
         m_span = {};
         m_state = health::good;
         return;
@@ -31,8 +31,9 @@
         quarantine(now);
         return;
     }
-    m_chance *= std::clamp(likely, s_min_likely, s_max_likely);
-    if (m_state == health::good && m_chance < s_min_probability)
+    m_failure_run_probability *= std::clamp(likely, s_min_likely, s_max_likely);
+    if (m_state == health::good &&
+        m_failure_run_probability < s_min_probability)
     {
         quarantine(now);
     }
@@ -63,7 +64,7 @@
     m_span = m_span.count() == 0 ? s_first_quarantine
                                  : std::min(m_span * 2, s_max_quarantine);
     m_until = now + m_span;
-    m_chance = 1;
+    m_failure_run_probability = 1;
 }
 
 } // namespace berylhill::placement
--- a/libraries/placement/worker_health.hpp
+++ b/libraries/placement/worker_health.hpp
@@ -59,7 +59,7 @@
     base::duration m_span{};
     /// The probability of the current run of consecutive failures on a good
     /// worker.
-    double m_chance{1};
+    double m_failure_run_probability{1};
 };
 
 } // namespace berylhill::placement
