--- a/libraries/workload/validation.cpp
+++ b/libraries/workload/validation.cpp
@@ -22,7 +22,7 @@
     {
         found.add({source, 0, place + member, message});
     };
-    if (it.tasks == 0 || it.tasks > most_tasks)
+    if (it.tasks == 0 || it.tasks > max_tasks_per_step)
     {
         wrong("/tasks", "must have 1 to 10000 tasks");
     }
@@ -72,7 +72,7 @@
 base::findings check(job_spec const& it)
 {
     base::findings out;
-    if (it.payload.size() > longest_payload)
+    if (it.payload.size() > max_payload_bytes)
     {
         out.add({source, 0, "/payload", "longer than 4000 bytes"});
     }
--- a/libraries/workload/validation.hpp
+++ b/libraries/workload/validation.hpp
@@ -7,11 +7,11 @@
 {
 
 /// The largest accepted payload, in bytes.
-inline constexpr std::size_t longest_payload = 4'000;
+inline constexpr std::size_t max_payload_bytes = 4'000;
 
 /// The largest accepted number of tasks in one step; more are assumed to be a
 /// mistake.
-inline constexpr std::uint32_t most_tasks = 10'000;
+inline constexpr std::uint32_t max_tasks_per_step = 10'000;
 
 /// Finds errors in a job that do not depend on the cell: steps without tasks,
 /// cyclic dependencies, negative resources, a payload that is too long. Empty
