--- a/libraries/placement/contract_account.cpp
+++ b/libraries/placement/contract_account.cpp
@@ -83,7 +83,7 @@
            std::max(m_contract.weight, s_min_weight);
 }
 
-void contract_account::note_first_start()
+void contract_account::on_first_start()
 {
     m_retry_tokens =
         std::min(m_retry_tokens + s_tokens_per_first_start, s_max_retry_tokens);
--- a/libraries/placement/contract_account.hpp
+++ b/libraries/placement/contract_account.hpp
@@ -61,16 +61,16 @@
     /// retry takes a whole one. Prevents retry storms, in which failing tasks
     /// displace work that would succeed, because retries stay a fixed share of
     /// first starts.
-    void note_first_start();
+    void on_first_start();
     [[nodiscard]] bool take_retry_token();
 
     std::int64_t jobs{0};
     /// Classes with waiting jobs.
-    std::vector<std::shared_ptr<work_class>> active;
+    std::vector<std::shared_ptr<job_class>> active;
     /// The number of urgent classes in `active`.
     std::int32_t active_urgent{0};
     /// Every class that has a job, by its key.
-    std::unordered_map<std::string, std::weak_ptr<work_class>> classes;
+    std::unordered_map<std::string, std::weak_ptr<job_class>> classes;
 
 private:
     model::contract m_contract;
--- a/libraries/placement/estimator.cpp
+++ b/libraries/placement/estimator.cpp
@@ -77,8 +77,8 @@
     return !seen && std::has_single_bit(it.count);
 }
 
-void estimator::learn_use(model::job_request const& request,
-                          model::resources const& used)
+void estimator::record_usage(model::job_request const& request,
+                             model::resources const& used)
 {
     auto const found = m_histories.find(key_of(request));
     if (found == m_histories.end())
@@ -111,8 +111,8 @@
     it.long_run = run[at];
 }
 
-estimate estimator::of(model::job_request const& request,
-                       model::resources const& largest) const
+estimate estimator::estimate_for(model::job_request const& request,
+                                 model::resources const& largest) const
 {
     estimate result;
     double cores = 1;
--- a/libraries/placement/estimator.hpp
+++ b/libraries/placement/estimator.hpp
@@ -45,12 +45,12 @@
 
     /// Records the present use of a running task. Raises the estimate where the
     /// use exceeds the largest peak in the history.
-    void learn_use(model::job_request const& request,
-                   model::resources const& used);
+    void record_usage(model::job_request const& request,
+                      model::resources const& used);
 
     /// Precondition: `largest` is the capacity of the largest worker.
-    [[nodiscard]] estimate of(model::job_request const& request,
-                              model::resources const& largest) const;
+    [[nodiscard]] estimate estimate_for(model::job_request const& request,
+                                        model::resources const& largest) const;
 
 private:
     static constexpr std::size_t s_kept = 32;
--- a/libraries/placement/group_ledger.cpp
+++ b/libraries/placement/group_ledger.cpp
@@ -26,7 +26,7 @@
 void group_ledger::set_worker(model::endpoint const& it, base::instant now)
 {
     m_workers[it.id].listed = it;
-    advance(now);
+    advance_time(now);
 }
 
 std::vector<model::attempt_id>
@@ -52,7 +52,7 @@
     auto const it = m_workers.find(worker);
     if (it != m_workers.end())
     {
-        it->second.silent = silent;
+        it->second.unresponsive = silent;
     }
 }
 
@@ -166,21 +166,21 @@
                         std::vector<platform::running_task> const& running,
                         base::instant now)
 {
-    advance(now);
+    advance_time(now);
     auto const found = m_workers.find(worker);
     if (found == m_workers.end())
     {
         return {};
     }
     auto& on = found->second;
-    on.silent = false;
+    on.unresponsive = false;
     std::set<model::attempt_id> reported;
     for (auto const& it : running)
     {
         reported.insert(it.attempt);
         adopt(worker, it, now);
         auto& known = m_tasks.at(it.attempt);
-        note_use(known, it.used);
+        update_usage(known, it.used);
         if (known.at == phase::held || known.at == phase::committed)
         {
             known.at = phase::running;
@@ -228,7 +228,7 @@
 
 std::vector<model::attempt_id> group_ledger::expire_holds(base::instant now)
 {
-    advance(now);
+    advance_time(now);
     std::vector<model::attempt_id> over;
     for (auto const& [attempt, it] : m_tasks)
     {
@@ -249,7 +249,7 @@
                            base::instant until,
                            base::instant now)
 {
-    advance(now);
+    advance_time(now);
     if (m_reservation && m_reservation->job != job)
     {
         return false;
@@ -360,7 +360,7 @@
     m_tasks.erase(it);
 }
 
-void group_ledger::note_use(task_state& it, model::resources const& used)
+void group_ledger::update_usage(task_state& it, model::resources const& used)
 {
     auto& on = m_workers.at(it.worker);
     on.charged = on.charged - it.charge();
@@ -369,7 +369,7 @@
     on.charged = on.charged + it.charge();
 }
 
-void group_ledger::advance(base::instant now)
+void group_ledger::advance_time(base::instant now)
 {
     for (auto& [id, on] : m_workers)
     {
--- a/libraries/placement/group_ledger.hpp
+++ b/libraries/placement/group_ledger.hpp
@@ -172,7 +172,7 @@
     struct worker_state
     {
         model::endpoint listed;
-        bool silent{false};
+        bool unresponsive{false};
         model::resources charged;
         worker_health condition;
         std::optional<claim> claimed;
@@ -200,8 +200,8 @@
     victims_on(worker_state const& it, hold_request const& request) const;
     void place(worker_state& it, task_state placed);
     void erase(model::attempt_id const& attempt);
-    void note_use(task_state& it, model::resources const& used);
-    void advance(base::instant now);
+    void update_usage(task_state& it, model::resources const& used);
+    void advance_time(base::instant now);
     std::vector<ledger_action> act_on_overuse(worker_state& it);
 
     std::string m_group;
--- a/libraries/placement/group_ledger_hold.cpp
+++ b/libraries/placement/group_ledger_hold.cpp
@@ -20,7 +20,7 @@
 
 bool group_ledger::takes_new(worker_state const& it)
 {
-    return it.listed.state == model::listed_state::live && !it.silent &&
+    return it.listed.state == model::listed_state::live && !it.unresponsive &&
            it.condition.takes_new();
 }
 
@@ -107,7 +107,7 @@
                                base::instant expires_at,
                                base::instant now)
 {
-    advance(now);
+    advance_time(now);
     auto const known = m_tasks.find(request.attempt);
     if (known != m_tasks.end())
     {
--- a/libraries/placement/group_table.cpp
+++ b/libraries/placement/group_table.cpp
@@ -44,7 +44,7 @@
     auto const [it, added] = m_index.emplace(group, size());
     if (added)
     {
-        m_groups.emplace_back().seen.group = group;
+        m_groups.emplace_back().digest.group = group;
         m_rooms.emplace_back();
     }
     return it->second;
@@ -55,9 +55,9 @@
     auto const index = at(index_of(it.group));
     auto& known = m_groups[index];
     auto const total_changed =
-        !(known.seen.total == it.total) ||
-        !(known.seen.largest_worker == it.largest_worker);
-    known.seen = it;
+        !(known.digest.total == it.total) ||
+        !(known.digest.largest_worker == it.largest_worker);
+    known.digest = it;
     known.zone =
         m_zones.emplace(it.zone, static_cast<std::int32_t>(m_zones.size()))
             .first->second;
@@ -69,7 +69,7 @@
     room.reserved = !known.reserved_for.empty() || !it.reserved_for.empty();
     if (total_changed)
     {
-        sum_up();
+        update_totals();
     }
 }
 
@@ -82,19 +82,19 @@
     }
     group_digest empty;
     empty.group = group;
-    empty.zone = m_groups[at(it->second)].seen.zone;
+    empty.zone = m_groups[at(it->second)].digest.zone;
     update(empty);
 }
 
-void group_table::sum_up()
+void group_table::update_totals()
 {
     m_total = {};
     m_largest_worker = {};
     for (auto const& it : m_groups)
     {
-        m_total = m_total + it.seen.total;
+        m_total = m_total + it.digest.total;
         m_largest_worker =
-            model::largest_of(m_largest_worker, it.seen.largest_worker);
+            model::largest_of(m_largest_worker, it.digest.largest_worker);
     }
 }
 
@@ -109,7 +109,7 @@
         return it.reserved_for != job.id &&
                now + base::from_seconds(run_s) > it.frees_at;
     }
-    return !it.seen.reserved_for.empty() && it.seen.reserved_for != job.id;
+    return !it.digest.reserved_for.empty() && it.digest.reserved_for != job.id;
 }
 
 bool group_table::fits(std::size_t index,
@@ -190,7 +190,8 @@
     std::int64_t all = 0;
     for (auto const& it : m_groups)
     {
-        all += count_fitting(it.seen.largest_worker, need) * it.seen.workers;
+        all +=
+            count_fitting(it.digest.largest_worker, need) * it.digest.workers;
     }
     return all;
 }
@@ -201,7 +202,7 @@
     std::int64_t most = 0;
     for (std::size_t index = 0; index < m_groups.size(); ++index)
     {
-        auto const& it = m_groups[index].seen;
+        auto const& it = m_groups[index].digest;
         auto const room = it.preemptible + m_rooms[index].free;
         if (need.fits_in(room) && need.fits_in(it.largest_worker) &&
             it.preemptible.millicores > most)
@@ -213,7 +214,7 @@
     return best;
 }
 
-void group_table::ordered(std::int32_t index, model::resources const& need)
+void group_table::on_requested(std::int32_t index, model::resources const& need)
 {
     auto& it = m_groups[at(index)];
     it.in_flight = it.in_flight + need;
@@ -222,13 +223,13 @@
     room.largest_free = smallest_of(room.largest_free, room.free);
 }
 
-void group_table::answered(std::int32_t index, model::resources const& need)
+void group_table::on_answered(std::int32_t index, model::resources const& need)
 {
     auto& it = m_groups[at(index)];
     it.in_flight = model::largest_of(it.in_flight - need, {});
 }
 
-void group_table::refused(std::int32_t index, model::resources const& need)
+void group_table::on_refused(std::int32_t index, model::resources const& need)
 {
     auto& room = m_rooms[at(index)];
     if (!room.has_refused || need.fits_in(room.refused))
@@ -259,12 +260,12 @@
         {
             it.reserved_for.clear();
         }
-        if (it.seen.reserved_for == job)
+        if (it.digest.reserved_for == job)
         {
-            it.seen.reserved_for.clear();
+            it.digest.reserved_for.clear();
         }
         m_rooms[index].reserved =
-            !it.reserved_for.empty() || !it.seen.reserved_for.empty();
+            !it.reserved_for.empty() || !it.digest.reserved_for.empty();
     }
 }
 
@@ -272,10 +273,11 @@
 {
     std::vector<std::int32_t> all(m_groups.size());
     std::iota(all.begin(), all.end(), 0);
-    std::sort(
-        all.begin(), all.end(),
-        [&](auto a, auto b)
-        { return m_groups[at(a)].seen.group < m_groups[at(b)].seen.group; });
+    std::sort(all.begin(), all.end(),
+              [&](auto a, auto b) {
+                  return m_groups[at(a)].digest.group <
+                         m_groups[at(b)].digest.group;
+              });
     return all;
 }
 
--- a/libraries/placement/group_table.hpp
+++ b/libraries/placement/group_table.hpp
@@ -27,7 +27,7 @@
     [[nodiscard]] std::int32_t index_of(std::string const& group);
     [[nodiscard]] std::string const& name_of(std::int32_t index) const
     {
-        return m_groups[static_cast<std::size_t>(index)].seen.group;
+        return m_groups[static_cast<std::size_t>(index)].digest.group;
     }
 
     /// The index of the best group for one task of this job by the policy, or
@@ -54,11 +54,11 @@
     [[nodiscard]] std::int32_t
     choose_preemptible(model::resources const& need) const;
 
-    void ordered(std::int32_t index, model::resources const& need);
-    void answered(std::int32_t index, model::resources const& need);
+    void on_requested(std::int32_t index, model::resources const& need);
+    void on_answered(std::int32_t index, model::resources const& need);
     /// The owner refused a task that fits according to the digest; tasks that
     /// are at least as large are not sent there until the next digest.
-    void refused(std::int32_t index, model::resources const& need);
+    void on_refused(std::int32_t index, model::resources const& need);
 
     /// Reserves the group for a job until `until`: tasks of other jobs are sent
     /// there only if they are expected to end by `frees_at`.
@@ -82,7 +82,7 @@
     }
     [[nodiscard]] group_digest const& digest_of(std::int32_t index) const
     {
-        return m_groups[static_cast<std::size_t>(index)].seen;
+        return m_groups[static_cast<std::size_t>(index)].digest;
     }
     /// All indices, ordered by group name: the same order at every owner.
     [[nodiscard]] std::vector<std::int32_t> in_order() const;
@@ -101,7 +101,7 @@
 
     struct group_view
     {
-        group_digest seen;
+        group_digest digest;
         model::resources in_flight;
         std::string reserved_for;
         base::instant frees_at{};
@@ -118,7 +118,7 @@
                                           job_record const& job,
                                           double run_s,
                                           base::instant now) const;
-    void sum_up();
+    void update_totals();
 
     std::vector<room_view> m_rooms;
     std::vector<group_view> m_groups;
--- a/libraries/placement/job_queue.cpp
+++ b/libraries/placement/job_queue.cpp
@@ -68,7 +68,7 @@
                           "a job needs at least one task");
     }
     auto const& largest = m_groups.largest_worker();
-    auto const one = m_estimator.of(request, largest);
+    auto const one = m_estimator.estimate_for(request, largest);
     auto const known = !largest.empty();
     auto const need = one.confidence > 0 ? one.peak : request.declared;
     if (known && !need.fits_in(largest))
@@ -185,13 +185,13 @@
     account_of(*job).jobs += 1;
     job->of_class = class_of(*job);
     auto& members = job->of_class->members;
-    job->member_at = members.size();
+    job->member_index = members.size();
     members.push_back(job.get());
     enqueue(job);
     return job;
 }
 
-std::shared_ptr<work_class> job_queue::class_of(job_record const& job)
+std::shared_ptr<job_class> job_queue::class_of(job_record const& job)
 {
     auto const& it = job.request;
     auto const key = it.name + '/' + std::to_string(static_cast<int>(it.kind)) +
@@ -209,7 +209,7 @@
     auto found = known.lock();
     if (found == nullptr)
     {
-        found = std::make_shared<work_class>();
+        found = std::make_shared<job_class>();
         found->key = key;
         found->account = job.account;
         found->urgent = it.urgent == model::urgency::urgent;
@@ -279,7 +279,7 @@
         }
         if (it.phase == task_phase::ordered)
         {
-            m_groups.answered(it.group, it.planned);
+            m_groups.on_answered(it.group, it.planned);
         }
         else if (it.phase == task_phase::running)
         {
@@ -292,8 +292,9 @@
     return actions;
 }
 
-queue_actions
-job_queue::close(job_record& job, model::job_state state, std::string detail)
+queue_actions job_queue::finish_job(job_record& job,
+                                    model::job_state state,
+                                    std::string detail)
 {
     auto actions = release_all(job);
     auto& account = account_of(job);
@@ -309,8 +310,8 @@
         job.of_class->finished += 1;
     }
     auto& members = job.of_class->members;
-    members[job.member_at] = members.back();
-    members[job.member_at]->member_at = job.member_at;
+    members[job.member_index] = members.back();
+    members[job.member_index]->member_index = job.member_index;
     members.pop_back();
     drop_reservation(job.id);
     actions.outcomes.push_back({job.id, state, std::move(detail)});
@@ -325,7 +326,7 @@
     {
         return {};
     }
-    return close(*it, model::job_state::cancelled, "cancelled");
+    return finish_job(*it, model::job_state::cancelled, "cancelled");
 }
 
 std::optional<job_status> job_queue::status_of(std::string const& job) const
--- a/libraries/placement/job_queue.hpp
+++ b/libraries/placement/job_queue.hpp
@@ -183,68 +183,69 @@
     void enqueue(job_pointer const& job);
     void make_waiting(job_record& job, std::int32_t index);
     void clear_waiting(job_record& job);
-    std::shared_ptr<work_class> class_of(job_record const& job);
+    std::shared_ptr<job_class> class_of(job_record const& job);
     queue_actions release_all(job_record& job);
     queue_actions
-    close(job_record& job, model::job_state state, std::string detail);
+    finish_job(job_record& job, model::job_state state, std::string detail);
 
     // Decisions (job_queue_decide.cpp).
-    void wake_due(base::instant now);
-    void wake_at(job_pointer const& job, std::int32_t task, base::instant at);
+    void process_wakeups(base::instant now);
+    void schedule_wakeup(job_pointer const& job,
+                         std::int32_t task,
+                         base::instant at);
     [[nodiscard]] turns turns_of(bool urgent) const;
     bool decide_one(turns& from,
                     bool urgent,
                     base::instant now,
                     queue_actions& actions);
-    work_class*
-    next_class(contract_account& it, bool urgent, base::instant now);
+    job_class* next_class(contract_account& it, bool urgent, base::instant now);
     [[nodiscard]] double order_key(contract_account const& account,
-                                   work_class const& it) const;
-    void remove_finished_jobs(work_class& it);
-    void sweep(contract_account& account);
-    void refresh(work_class& it);
+                                   job_class const& it) const;
+    void remove_finished_jobs(job_class& it);
+    void remove_idle_classes(contract_account& account);
+    void update_estimate(job_class& it);
     [[nodiscard]] bool can_ever_fit(job_record const& job,
                                     model::resources const& need) const;
-    bool place(work_class& it, base::instant now, queue_actions& actions);
-    bool place_task(work_class& it,
+    bool place(job_class& it, base::instant now, queue_actions& actions);
+    bool place_task(job_class& it,
                     job_pointer const& job,
                     base::instant now,
                     queue_actions& actions);
-    void order(job_pointer const& job,
-               std::int32_t index,
-               std::int32_t group,
-               hold_mode mode,
-               bool preempt,
-               queue_actions& actions);
-    [[nodiscard]] hold_order order_for(job_record const& job,
-                                       std::int32_t index) const;
+    void request_hold(job_pointer const& job,
+                      std::int32_t index,
+                      std::int32_t group,
+                      hold_mode mode,
+                      bool preempt,
+                      queue_actions& actions);
+    [[nodiscard]] hold_order hold_order_for(job_record const& job,
+                                            std::int32_t index) const;
 
     // Gangs (job_queue_gang.cpp).
-    bool place_gang(work_class& it,
+    bool place_gang(job_class& it,
                     job_pointer const& job,
                     base::instant now,
                     queue_actions& actions);
     void ask_next_group(job_pointer const& job,
                         base::instant now,
                         queue_actions& actions);
-    queue_actions gang_answered(job_pointer const& job, base::instant now);
+    queue_actions on_gang_answer(job_pointer const& job, base::instant now);
     queue_actions release_gang(job_pointer const& job, base::instant now);
     queue_actions restart_gang(job_pointer const& job, base::instant now);
 
     // Reservations (job_queue_reserve.cpp).
-    void note_blocked(job_pointer const& job, base::instant now);
+    void record_blocked(job_pointer const& job, base::instant now);
     void reserve_if_due(base::instant now, queue_actions& to);
     void
     reserve_for(job_record const& job, base::instant now, queue_actions& to);
     void drop_reservation(std::string const& job);
 
-    void mark_for_replan(std::shared_ptr<work_class> const& it);
+    void mark_for_replan(std::shared_ptr<job_class> const& it);
     void replan(queue_actions& to);
     void replan_job(job_record& job, queue_actions& to);
 
     // Events of attempts (job_queue_events.cpp).
-    task_record* current(job_pointer const& job,
-                         model::attempt_id const& attempt);
+    task_record* find_current(job_pointer const& job,
+                              model::attempt_id const& attempt);
     void stop_accounting(job_record& job, task_record& it);
     queue_actions
     task_done(job_pointer const& job, std::int32_t index, base::instant now);
@@ -275,7 +276,7 @@
     std::int32_t m_urgent_in_row{0};
     std::int64_t m_waiting_tasks{0};
     /// Classes whose estimate has changed since their tasks were planned.
-    std::vector<std::shared_ptr<work_class>> m_to_replan;
+    std::vector<std::shared_ptr<job_class>> m_to_replan;
 };
 
 } // namespace berylhill::placement
--- a/libraries/placement/job_queue_decide.cpp
+++ b/libraries/placement/job_queue_decide.cpp
@@ -28,9 +28,9 @@
 
 } // namespace
 
-void job_queue::wake_at(job_pointer const& job,
-                        std::int32_t task,
-                        base::instant at)
+void job_queue::schedule_wakeup(job_pointer const& job,
+                                std::int32_t task,
+                                base::instant at)
 {
     m_wakes.push({at, ++m_wake_order, job, task});
 }
@@ -40,7 +40,7 @@
     return m_wakes.empty() ? base::instant::max() : m_wakes.top().at;
 }
 
-void job_queue::wake_due(base::instant now)
+void job_queue::process_wakeups(base::instant now)
 {
     while (!m_wakes.empty() && m_wakes.top().at <= now)
     {
@@ -78,7 +78,7 @@
 queue_actions job_queue::decide(base::instant now, std::int32_t most)
 {
     queue_actions actions;
-    wake_due(now);
+    process_wakeups(now);
     replan(actions);
     m_round += 1;
     auto urgent = turns_of(true);
@@ -130,7 +130,7 @@
     return placed;
 }
 
-void job_queue::remove_finished_jobs(work_class& it)
+void job_queue::remove_finished_jobs(job_class& it)
 {
     while (!it.jobs.empty())
     {
@@ -154,7 +154,7 @@
     it.finished = 0;
 }
 
-void job_queue::refresh(work_class& it)
+void job_queue::update_estimate(job_class& it)
 {
     if (it.planned_round == m_round)
     {
@@ -162,7 +162,8 @@
     }
     it.planned_round = m_round;
     auto const& request = it.jobs.front()->request;
-    auto const found = m_estimator.of(request, m_groups.largest_worker());
+    auto const found =
+        m_estimator.estimate_for(request, m_groups.largest_worker());
     it.need = found.peak;
     it.run_s = found.run_s;
     // A job that was accepted without the safety margin of the estimate must
@@ -187,7 +188,7 @@
 }
 
 double job_queue::order_key(contract_account const& account,
-                            work_class const& it) const
+                            job_class const& it) const
 {
     auto const& job = *it.jobs.front();
     auto key = base::seconds_of(job.accepted_at.time_since_epoch());
@@ -208,7 +209,7 @@
     return key;
 }
 
-void job_queue::sweep(contract_account& account)
+void job_queue::remove_idle_classes(contract_account& account)
 {
     std::erase_if(account.active,
                   [&](auto const& each)
@@ -221,12 +222,12 @@
                   });
 }
 
-work_class*
+job_class*
 job_queue::next_class(contract_account& account, bool urgent, base::instant now)
 {
-    work_class* best = nullptr;
+    job_class* best = nullptr;
     auto best_key = std::numeric_limits<double>::infinity();
-    sweep(account);
+    remove_idle_classes(account);
     for (auto const& each : account.active)
     {
         auto& it = *each;
@@ -235,7 +236,7 @@
         {
             continue;
         }
-        refresh(it);
+        update_estimate(it);
         auto const& job = *it.jobs.front();
         auto const gang = job.request.kind == model::job_kind::gang;
         auto const tasks =
@@ -255,7 +256,7 @@
     return best;
 }
 
-bool job_queue::place(work_class& it, base::instant now, queue_actions& actions)
+bool job_queue::place(job_class& it, base::instant now, queue_actions& actions)
 {
     auto const job = it.jobs.front();
     auto const placed = job->request.kind == model::job_kind::gang
@@ -263,7 +264,7 @@
                             : place_task(it, job, now, actions);
     if (!placed)
     {
-        note_blocked(job, now);
+        record_blocked(job, now);
         return false;
     }
     if (job->request.kind == model::job_kind::gang)
@@ -279,7 +280,7 @@
     return true;
 }
 
-bool job_queue::place_task(work_class& it,
+bool job_queue::place_task(job_class& it,
                            job_pointer const& job,
                            base::instant now,
                            queue_actions& actions)
@@ -309,16 +310,16 @@
     auto const mode = job->request.safety == model::rerun::at_most_once
                           ? hold_mode::hold
                           : hold_mode::start;
-    order(job, index, group, mode, preempt, actions);
+    request_hold(job, index, group, mode, preempt, actions);
     return true;
 }
 
-void job_queue::order(job_pointer const& job,
-                      std::int32_t index,
-                      std::int32_t group,
-                      hold_mode mode,
-                      bool preempt,
-                      queue_actions& actions)
+void job_queue::request_hold(job_pointer const& job,
+                             std::int32_t index,
+                             std::int32_t group,
+                             hold_mode mode,
+                             bool preempt,
+                             queue_actions& actions)
 {
     auto& account = account_of(*job);
     auto const& of_class = *job->of_class;
@@ -332,16 +333,17 @@
     account.charge(it);
     if (it.number == m_first_attempt)
     {
-        account.note_first_start();
+        account.on_first_start();
     }
-    m_groups.ordered(group, it.planned);
-    auto found = order_for(*job, index);
+    m_groups.on_requested(group, it.planned);
+    auto found = hold_order_for(*job, index);
     found.mode = mode;
     found.request.may_preempt = preempt;
     actions.holds.push_back(std::move(found));
 }
 
-hold_order job_queue::order_for(job_record const& job, std::int32_t index) const
+hold_order job_queue::hold_order_for(job_record const& job,
+                                     std::int32_t index) const
 {
     auto const& it = job.tasks[static_cast<std::size_t>(index)];
     auto const& account = *m_accounts[static_cast<std::size_t>(job.account)];
@@ -363,7 +365,7 @@
     request.need = it.planned;
     request.expected_run_s = it.expected_run_s;
     request.command = job.request.command;
-    request.avoid.assign(job.failed_on.begin(), job.failed_on.end());
+    request.avoid.assign(job.failed_workers.begin(), job.failed_workers.end());
     return found;
 }
 
--- a/libraries/placement/job_queue_events.cpp
+++ b/libraries/placement/job_queue_events.cpp
@@ -37,8 +37,8 @@
 
 } // namespace
 
-task_record* job_queue::current(job_pointer const& job,
-                                model::attempt_id const& attempt)
+task_record* job_queue::find_current(job_pointer const& job,
+                                     model::attempt_id const& attempt)
 {
     auto const index = attempt.task.index;
     if (job == nullptr || index < 0 || index >= job->request.tasks)
@@ -53,7 +53,7 @@
 {
     if (it.phase == task_phase::ordered)
     {
-        m_groups.answered(it.group, it.planned);
+        m_groups.on_answered(it.group, it.planned);
     }
     if (it.phase == task_phase::running)
     {
@@ -71,7 +71,7 @@
                                  base::instant now)
 {
     auto const job = find(attempt.task.job);
-    auto* const it = current(job, attempt);
+    auto* const it = find_current(job, attempt);
     if (it == nullptr || it->phase == task_phase::waiting ||
         it->phase == task_phase::stopping)
     {
@@ -81,12 +81,12 @@
     {
         return {};
     }
-    m_groups.answered(it->group, it->planned);
+    m_groups.on_answered(it->group, it->planned);
     it->phase = task_phase::held;
     if (job->request.kind == model::job_kind::gang)
     {
         job->held += 1;
-        return gang_answered(job, now);
+        return on_gang_answer(job, now);
     }
     it->phase = task_phase::committed;
     queue_actions actions;
@@ -99,7 +99,7 @@
                                     base::instant now)
 {
     auto const job = find(attempt.task.job);
-    auto* const it = current(job, attempt);
+    auto* const it = find_current(job, attempt);
     if (it == nullptr || it->phase == task_phase::waiting ||
         it->phase == task_phase::stopping)
     {
@@ -112,7 +112,7 @@
     }
     if (it->phase == task_phase::ordered)
     {
-        m_groups.answered(it->group, it->planned);
+        m_groups.on_answered(it->group, it->planned);
     }
     it->phase = task_phase::running;
     it->since = now;
@@ -127,7 +127,7 @@
                                     base::instant now)
 {
     auto const job = find(attempt.task.job);
-    auto* const it = current(job, attempt);
+    auto* const it = find_current(job, attempt);
     if (it == nullptr || it->phase == task_phase::running ||
         it->phase == task_phase::done || it->phase == task_phase::waiting)
     {
@@ -137,7 +137,7 @@
     auto const group = it->group;
     if (why != hold_state::preempting)
     {
-        m_groups.refused(it->group, it->planned);
+        m_groups.on_refused(it->group, it->planned);
     }
     stop_accounting(*job, *it);
     auto const gang = job->request.kind == model::job_kind::gang;
@@ -145,7 +145,7 @@
     {
         job->ordered -= 1;
         make_waiting(*job, attempt.task.index);
-        return gang_answered(job, now);
+        return on_gang_answer(job, now);
     }
     make_waiting(*job, attempt.task.index);
     if (gang)
@@ -160,14 +160,14 @@
     auto const making_room = why == hold_state::preempting;
     it->claimed_group = making_room ? group : -1;
     auto const pause = making_room ? s_preempting_pause : base::duration{0};
-    wake_at(job, -1, now + pause);
+    schedule_wakeup(job, -1, now + pause);
     return {};
 }
 
 queue_actions job_queue::on_unanswered(model::attempt_id const& attempt)
 {
     auto const job = find(attempt.task.job);
-    auto* const it = current(job, attempt);
+    auto* const it = find_current(job, attempt);
     queue_actions actions;
     if (it == nullptr)
     {
@@ -175,7 +175,7 @@
     }
     if (it->phase == task_phase::ordered)
     {
-        actions.holds.push_back(order_for(*job, attempt.task.index));
+        actions.holds.push_back(hold_order_for(*job, attempt.task.index));
     }
     else if (it->phase == task_phase::committed)
     {
@@ -192,16 +192,16 @@
                          model::resources const& use)
 {
     auto const job = find(attempt.task.job);
-    if (current(job, attempt) != nullptr)
+    if (find_current(job, attempt) != nullptr)
     {
-        m_estimator.learn_use(job->request, use);
+        m_estimator.record_usage(job->request, use);
     }
 }
 
 queue_actions job_queue::on_finished(attempt_end const& end, base::instant now)
 {
     auto const job = find(end.attempt.task.job);
-    auto* const it = current(job, end.attempt);
+    auto* const it = find_current(job, end.attempt);
     if (it == nullptr || it->phase == task_phase::done ||
         it->phase == task_phase::waiting)
     {
@@ -229,9 +229,10 @@
     case model::task_end::stopped:
         if (once)
         {
-            return close(*job, model::job_state::failed,
-                         "stopped before it ended; an at-most-once job is not "
-                         "run again");
+            return finish_job(
+                *job, model::job_state::failed,
+                "stopped before it ended; an at-most-once job is not "
+                "run again");
         }
         return run_again(job, index, now, now);
     case model::task_end::lapsed:
@@ -244,9 +245,10 @@
         break;
     }
     it->phase = task_phase::done;
-    return close(*job, model::job_state::outcome_unknown,
-                 "task " + std::to_string(index) +
-                     " may have run; an at-most-once task is not run again");
+    return finish_job(
+        *job, model::job_state::outcome_unknown,
+        "task " + std::to_string(index) +
+            " may have run; an at-most-once task is not run again");
 }
 
 queue_actions job_queue::task_done(job_pointer const& job,
@@ -254,7 +256,7 @@
                                    base::instant now)
 {
     job->tasks[static_cast<std::size_t>(index)].phase = task_phase::done;
-    job->failures_in_row = 0;
+    job->consecutive_failures = 0;
     job->unfinished -= 1;
     if (job->unfinished > 0)
     {
@@ -264,7 +266,7 @@
         return gang && !job->waiting.empty() ? restart_gang(job, now)
                                              : queue_actions{};
     }
-    return close(*job, model::job_state::succeeded, {});
+    return finish_job(*job, model::job_state::succeeded, {});
 }
 
 queue_actions job_queue::task_failed(job_pointer const& job,
@@ -274,28 +276,29 @@
 {
     auto& it = job->tasks[static_cast<std::size_t>(index)];
     it.failures += 1;
-    job->failures_in_row += 1;
-    job->failed_on.insert(end.worker);
+    job->consecutive_failures += 1;
+    job->failed_workers.insert(end.worker);
     job->failed_groups.insert(it.group);
     if (job->request.safety == model::rerun::at_most_once)
     {
-        return close(*job, model::job_state::failed,
-                     "task " + std::to_string(index) +
-                         " failed: " + end.detail);
+        return finish_job(*job, model::job_state::failed,
+                          "task " + std::to_string(index) +
+                              " failed: " + end.detail);
     }
     auto const everywhere = it.failures >= s_max_failures &&
-                            job->failed_on.size() >= s_min_failed_workers;
+                            job->failed_workers.size() >= s_min_failed_workers;
     // A service is never given up.
     auto const service = job->request.kind == model::job_kind::service;
     if (!service && (everywhere || it.failures >= s_max_failures_on_any_worker))
     {
-        return close(*job, model::job_state::failed,
-                     "task " + std::to_string(index) + " failed " +
-                         std::to_string(it.failures) + " times on " +
-                         std::to_string(job->failed_on.size()) +
-                         " workers: " + end.detail);
+        return finish_job(*job, model::job_state::failed,
+                          "task " + std::to_string(index) + " failed " +
+                              std::to_string(it.failures) + " times on " +
+                              std::to_string(job->failed_workers.size()) +
+                              " workers: " + end.detail);
     }
-    auto const doublings = std::min(job->failures_in_row - 1, s_max_doublings);
+    auto const doublings =
+        std::min(job->consecutive_failures - 1, s_max_doublings);
     auto longest =
         std::min(s_first_back_off_s * (1 << doublings), s_max_back_off_s);
     if (!account_of(*job).take_retry_token())
@@ -315,15 +318,16 @@
                                      base::instant now)
 {
     auto& it = job->tasks[static_cast<std::size_t>(index)];
-    it.lapses = now - it.since < s_harmless_run
-                    ? static_cast<std::int16_t>(it.lapses + 1)
-                    : std::int16_t{0};
-    if (it.lapses >= s_max_consecutive_losses)
+    it.consecutive_losses =
+        now - it.since < s_harmless_run
+            ? static_cast<std::int16_t>(it.consecutive_losses + 1)
+            : std::int16_t{0};
+    if (it.consecutive_losses >= s_max_consecutive_losses)
     {
-        return close(*job, model::job_state::failed,
-                     "task " + std::to_string(index) + " lost " +
-                         std::to_string(it.lapses) +
-                         " workers in a row; it may be crashing them");
+        return finish_job(*job, model::job_state::failed,
+                          "task " + std::to_string(index) + " lost " +
+                              std::to_string(it.consecutive_losses) +
+                              " workers in a row; it may be crashing them");
     }
     return run_again(job, index, now, now);
 }
@@ -342,7 +346,7 @@
         return restart_gang(job, now);
     }
     it.phase = task_phase::waiting;
-    wake_at(job, index, at);
+    schedule_wakeup(job, index, at);
     return {};
 }
 
--- a/libraries/placement/job_queue_gang.cpp
+++ b/libraries/placement/job_queue_gang.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-bool job_queue::place_gang(work_class& it,
+bool job_queue::place_gang(job_class& it,
                            job_pointer const& job,
                            base::instant now,
                            queue_actions& actions)
@@ -67,10 +67,10 @@
               [&](auto const& a, auto const& b) {
                   return m_groups.name_of(a.group) > m_groups.name_of(b.group);
               });
-    job->to_ask.clear();
+    job->groups_to_ask.clear();
     for (auto const& each : offers)
     {
-        job->to_ask.push_back(each.group);
+        job->groups_to_ask.push_back(each.group);
     }
     job->ordered = 0;
     job->held = 0;
@@ -83,10 +83,10 @@
                                queue_actions& actions)
 {
     auto const& it = *job->of_class;
-    while (!job->to_ask.empty() && !job->waiting.empty())
+    while (!job->groups_to_ask.empty() && !job->waiting.empty())
     {
-        auto const group = job->to_ask.back();
-        job->to_ask.pop_back();
+        auto const group = job->groups_to_ask.back();
+        job->groups_to_ask.pop_back();
         auto n = m_groups.slots(group, *job, it.need, it.run_s, now);
         auto const asked = n > 0;
         while (n-- > 0 && !job->waiting.empty())
@@ -95,7 +95,7 @@
             job->waiting.pop_back();
             m_waiting_tasks -= 1;
             job->ordered += 1;
-            order(job, index, group, hold_mode::hold, false, actions);
+            request_hold(job, index, group, hold_mode::hold, false, actions);
         }
         if (asked)
         {
@@ -104,8 +104,8 @@
     }
 }
 
-queue_actions job_queue::gang_answered(job_pointer const& job,
-                                       base::instant now)
+queue_actions job_queue::on_gang_answer(job_pointer const& job,
+                                        base::instant now)
 {
     queue_actions actions;
     if (job->held < job->ordered)
@@ -155,8 +155,8 @@
     boost::random::uniform_real_distribution<double> spread{longest / 2,
                                                             longest};
     job->not_before = now + base::from_seconds(spread(m_random));
-    wake_at(job, -1, job->not_before);
-    note_blocked(job, now);
+    schedule_wakeup(job, -1, job->not_before);
+    record_blocked(job, now);
     return actions;
 }
 
@@ -174,7 +174,7 @@
     // All stopped tasks have ended; the gang can be started again as a whole.
     job->ordered = 0;
     job->held = 0;
-    wake_at(job, -1, std::max(now, job->not_before));
+    schedule_wakeup(job, -1, std::max(now, job->not_before));
     return actions;
 }
 
--- a/libraries/placement/job_queue_reserve.cpp
+++ b/libraries/placement/job_queue_reserve.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-void job_queue::note_blocked(job_pointer const& job, base::instant now)
+void job_queue::record_blocked(job_pointer const& job, base::instant now)
 {
     job->blocked_since = std::min(job->blocked_since, now);
     auto const size =
@@ -155,7 +155,7 @@
     }
 }
 
-void job_queue::mark_for_replan(std::shared_ptr<work_class> const& it)
+void job_queue::mark_for_replan(std::shared_ptr<job_class> const& it)
 {
     if (!it->replan)
     {
@@ -179,7 +179,7 @@
 void job_queue::replan_job(job_record& job, queue_actions& to)
 {
     auto const need =
-        m_estimator.of(job.request, m_groups.largest_worker()).peak;
+        m_estimator.estimate_for(job.request, m_groups.largest_worker()).peak;
     auto& account = account_of(job);
     for (std::int32_t index = 0; index < job.request.tasks; ++index)
     {
--- a/libraries/placement/job_record.hpp
+++ b/libraries/placement/job_record.hpp
@@ -14,7 +14,7 @@
 namespace berylhill::placement
 {
 
-struct work_class;
+struct job_class;
 
 enum class task_phase : std::uint8_t
 {
@@ -38,7 +38,7 @@
     bool urgent{false};
     std::int16_t failures{0};
     /// Workers lost in a row, each soon after the task had started there.
-    std::int16_t lapses{0};
+    std::int16_t consecutive_losses{0};
     /// The group where preemption is freeing capacity for the task, or -1.
     std::int32_t claimed_group{-1};
     model::resources planned;
@@ -52,9 +52,9 @@
     std::string id;
     model::job_request request;
     std::int32_t account{-1};
-    std::shared_ptr<work_class> of_class;
+    std::shared_ptr<job_class> of_class;
     /// Its index in `of_class->members`.
-    std::size_t member_at{0};
+    std::size_t member_index{0};
     base::instant accepted_at{};
     base::instant deadline{base::instant::max()};
     model::job_state state{model::job_state::queued};
@@ -69,22 +69,22 @@
     std::int32_t held{0};
     /// Groups that a gang still has to ask, in the order of
     /// `group_table::in_order`, the next at the back.
-    std::vector<std::int32_t> to_ask;
+    std::vector<std::int32_t> groups_to_ask;
     /// Failed rounds of hold requests of a gang since it last got all its
     /// holds.
     std::int32_t rounds_failed{0};
-    std::int32_t failures_in_row{0};
+    std::int32_t consecutive_failures{0};
     /// When placement first failed; `max` while the job is not blocked.
     base::instant blocked_since{base::instant::max()};
     base::instant not_before{};
-    std::set<std::string> failed_on;
+    std::set<std::string> failed_workers;
     std::set<std::int32_t> failed_groups;
     /// Number of running tasks by group, for spreading services.
     std::map<std::int32_t, std::int32_t> spread;
 };
 
 /// Jobs that are equivalent for placement: if one doesn't fit, none does.
-struct work_class
+struct job_class
 {
     std::string key;
     std::int32_t account{-1};
--- a/libraries/placement/worker_health.cpp
+++ b/libraries/placement/worker_health.cpp
@@ -18,11 +18,11 @@
 
 void worker_health::ended(bool failed, double likely, base::instant now)
 {
-    m_probe_out = false;
+    m_probe_running = false;
     if (!failed)
     {
         m_failure_run_probability = 1;
-        m_span = {};
+        m_quarantine_time = {};
         m_state = health::good;
         return;
     }
@@ -41,29 +41,30 @@
 
 void worker_health::advance(base::instant now)
 {
-    if (m_state == health::quarantined && now >= m_until)
+    if (m_state == health::quarantined && now >= m_quarantine_until)
     {
         m_state = health::probing;
-        m_probe_out = false;
+        m_probe_running = false;
     }
 }
 
 void worker_health::attempt_given()
 {
-    m_probe_out = m_state == health::probing;
+    m_probe_running = m_state == health::probing;
 }
 
 void worker_health::attempt_gone()
 {
-    m_probe_out = false;
+    m_probe_running = false;
 }
 
 void worker_health::quarantine(base::instant now)
 {
     m_state = health::quarantined;
-    m_span = m_span.count() == 0 ? s_first_quarantine
-                                 : std::min(m_span * 2, s_max_quarantine);
-    m_until = now + m_span;
+    m_quarantine_time = m_quarantine_time.count() == 0
+                            ? s_first_quarantine
+                            : std::min(m_quarantine_time * 2, s_max_quarantine);
+    m_quarantine_until = now + m_quarantine_time;
     m_failure_run_probability = 1;
 }
 
--- a/libraries/placement/worker_health.hpp
+++ b/libraries/placement/worker_health.hpp
@@ -47,16 +47,16 @@
     [[nodiscard]] bool takes_new() const noexcept
     {
         return m_state == health::good ||
-               (m_state == health::probing && !m_probe_out);
+               (m_state == health::probing && !m_probe_running);
     }
 
 private:
     void quarantine(base::instant now);
 
     health m_state{health::good};
-    bool m_probe_out{false};
-    base::instant m_until{};
-    base::duration m_span{};
+    bool m_probe_running{false};
+    base::instant m_quarantine_until{};
+    base::duration m_quarantine_time{};
     /// The probability of the current run of consecutive failures on a good
     /// worker.
     double m_failure_run_probability{1};
