--- a/libraries/placement/estimator.cpp
+++ b/libraries/placement/estimator.cpp
@@ -12,15 +12,16 @@
 namespace
 {
 
-// Before any job of a name has ended it is planned so that a declaration which
-// is too small by half does no harm. Once more is known, what runs is planned
-// again and gives the rest back.
+// Factor on the declared resources while no job of the name has ended, so that
+// a declaration which is too small by half does no harm. Running tasks are
+// planned again once there is history, which frees the excess.
 constexpr double s_unknown_factor = 1.6;
 constexpr double s_run_quantile = 0.9;
-// Room above the largest peak seen, narrower the more were seen.
-constexpr double s_least_margin = 0.05;
+// Safety margin above the largest observed peak: s_first_margin / n for n jobs
+// in the history, at least s_min_margin.
+constexpr double s_min_margin = 0.05;
 constexpr double s_first_margin = 0.5;
-constexpr std::size_t s_most_names = 50'000;
+constexpr std::size_t s_max_names = 50'000;
 
 float ratio(double seen, double declared)
 {
@@ -47,10 +48,10 @@
 {
     if (peak.empty())
     {
-        // It ended before its use was ever measured.
+        // The task ended before its use was measured.
         return false;
     }
-    if (m_histories.size() >= s_most_names)
+    if (m_histories.size() >= s_max_names)
     {
         m_histories.clear();
     }
@@ -76,8 +77,8 @@
     return !seen && std::has_single_bit(it.count);
 }
 
-void estimator::learn_use(model::job_request const& request,
-                          model::resources const& used)
+void estimator::record_usage(model::job_request const& request,
+                             model::resources const& used)
 {
     auto const found = m_histories.find(key_of(request));
     if (found == m_histories.end())
@@ -110,8 +111,8 @@
     it.long_run = run[at];
 }
 
-estimate estimator::of(model::job_request const& request,
-                       model::resources const& largest) const
+estimate estimator::estimate_for(model::job_request const& request,
+                                 model::resources const& largest) const
 {
     estimate result;
     double cores = 1;
@@ -124,7 +125,7 @@
         auto const& it = found->second;
         auto const n =
             static_cast<double>(std::min<std::size_t>(it.count, s_kept));
-        margin = 1 + std::max(s_least_margin, s_first_margin / n);
+        margin = 1 + std::max(s_min_margin, s_first_margin / n);
         cores = it.largest_cores;
         memory = it.largest_memory;
         result.run_s = request.declared_run_s * it.long_run;
@@ -140,7 +141,7 @@
                 declared.accelerators};
     };
     result.peak = planned(margin);
-    result.least = planned(1);
+    result.peak_without_margin = planned(1);
     return result;
 }
 
--- a/libraries/placement/group_ledger.cpp
+++ b/libraries/placement/group_ledger.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::int32_t s_most_ended = 1024;
+constexpr std::int32_t s_max_ended = 1024;
 
 } // namespace
 
@@ -26,7 +26,7 @@
 void group_ledger::set_worker(model::endpoint const& it, base::instant now)
 {
     m_workers[it.id].listed = it;
-    advance(now);
+    advance_time(now);
 }
 
 std::vector<model::attempt_id>
@@ -52,7 +52,7 @@
     auto const it = m_workers.find(worker);
     if (it != m_workers.end())
     {
-        it->second.silent = silent;
+        it->second.unresponsive = silent;
     }
 }
 
@@ -142,13 +142,13 @@
     if (failed || end == model::task_end::succeeded)
     {
         auto const name = ended.request.contract + '/' + ended.request.name;
-        auto const likely =
-            m_history.likely(name, ended.worker, m_cell_failure_rate);
+        auto const likely = m_history.failure_probability(name, ended.worker,
+                                                          m_cell_failure_rate);
         on.condition.ended(failed, likely, now);
         m_history.add(name, ended.worker, failed);
         m_ended += 1;
         m_failed += failed ? 1 : 0;
-        if (m_ended >= s_most_ended)
+        if (m_ended >= s_max_ended)
         {
             m_ended /= 2;
             m_failed /= 2;
@@ -166,21 +166,21 @@
                         std::vector<platform::running_task> const& running,
                         base::instant now)
 {
-    advance(now);
+    advance_time(now);
     auto const found = m_workers.find(worker);
     if (found == m_workers.end())
     {
         return {};
     }
     auto& on = found->second;
-    on.silent = false;
+    on.unresponsive = false;
     std::set<model::attempt_id> reported;
     for (auto const& it : running)
     {
         reported.insert(it.attempt);
         adopt(worker, it, now);
         auto& known = m_tasks.at(it.attempt);
-        note_use(known, it.used);
+        update_usage(known, it.used);
         if (known.at == phase::held || known.at == phase::committed)
         {
             known.at = phase::running;
@@ -200,12 +200,12 @@
         on.condition.attempt_gone();
         erase(it);
     }
-    auto const relief = relieve_worker(on);
+    auto const relief = act_on_overuse(on);
     actions.insert(actions.end(), relief.begin(), relief.end());
     return actions;
 }
 
-std::vector<ledger_action> group_ledger::relieve_worker(worker_state& on)
+std::vector<ledger_action> group_ledger::act_on_overuse(worker_state& on)
 {
     std::vector<task_use> uses;
     for (auto const& attempt : on.tasks)
@@ -215,7 +215,8 @@
                         it.request.safety, it.since, it.throttled,
                         it.checkpointing || it.at == phase::stopping});
     }
-    auto actions = relieve(on.listed.id, on.listed.capacity, std::move(uses));
+    auto actions = actions_against_overuse(on.listed.id, on.listed.capacity,
+                                           std::move(uses));
     for (auto const& it : actions)
     {
         auto& known = m_tasks.at(it.attempt);
@@ -227,7 +228,7 @@
 
 std::vector<model::attempt_id> group_ledger::expire_holds(base::instant now)
 {
-    advance(now);
+    advance_time(now);
     std::vector<model::attempt_id> over;
     for (auto const& [attempt, it] : m_tasks)
     {
@@ -248,7 +249,7 @@
                            base::instant until,
                            base::instant now)
 {
-    advance(now);
+    advance_time(now);
     if (m_reservation && m_reservation->job != job)
     {
         return false;
@@ -359,7 +360,7 @@
     m_tasks.erase(it);
 }
 
-void group_ledger::note_use(task_state& it, model::resources const& used)
+void group_ledger::update_usage(task_state& it, model::resources const& used)
 {
     auto& on = m_workers.at(it.worker);
     on.charged = on.charged - it.charge();
@@ -368,7 +369,7 @@
     on.charged = on.charged + it.charge();
 }
 
-void group_ledger::advance(base::instant now)
+void group_ledger::advance_time(base::instant now)
 {
     for (auto& [id, on] : m_workers)
     {
--- a/libraries/placement/group_ledger_hold.cpp
+++ b/libraries/placement/group_ledger_hold.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-constexpr base::duration s_claim_span{10'000'000};
+constexpr base::duration s_claim_duration{10'000'000};
 
-model::resources at_least_nothing(model::resources const& it)
+model::resources not_negative(model::resources const& it)
 {
     return model::largest_of(it, {});
 }
@@ -20,7 +20,7 @@
 
 bool group_ledger::takes_new(worker_state const& it)
 {
-    return it.listed.state == model::listed_state::live && !it.silent &&
+    return it.listed.state == model::listed_state::live && !it.unresponsive &&
            it.condition.takes_new();
 }
 
@@ -32,11 +32,11 @@
     {
         left = left - it.claimed->need;
     }
-    return at_least_nothing(left);
+    return not_negative(left);
 }
 
-bool group_ledger::kept_for_other(hold_request const& request,
-                                  base::instant now) const
+bool group_ledger::reserved_for_other(hold_request const& request,
+                                      base::instant now) const
 {
     if (!m_reservation || m_reservation->job == request.attempt.task.job ||
         request.urgent == model::urgency::urgent)
@@ -68,7 +68,7 @@
 group_ledger::worker_state*
 group_ledger::best_worker(hold_request const& request)
 {
-    // Within a group a gang is packed as tightly as batch work is.
+    // Within a group, gangs are packed like batch tasks.
     auto const kind = request.kind == model::job_kind::gang
                           ? model::job_kind::batch
                           : request.kind;
@@ -107,7 +107,7 @@
                                base::instant expires_at,
                                base::instant now)
 {
-    advance(now);
+    advance_time(now);
     auto const known = m_tasks.find(request.attempt);
     if (known != m_tasks.end())
     {
@@ -117,14 +117,14 @@
     {
         return {{hold_state::never_fits, {}}, {}};
     }
-    if (kept_for_other(request, now))
+    if (reserved_for_other(request, now))
     {
         return {{hold_state::reserved, {}}, {}};
     }
     auto* const on = best_worker(request);
     if (on == nullptr)
     {
-        return request.may_preempt ? make_room(request, now)
+        return request.may_preempt ? preempt_for(request, now)
                                    : hold_result{{hold_state::full, {}}, {}};
     }
     if (on->claimed && on->claimed->attempt.task == request.attempt.task)
@@ -152,9 +152,9 @@
     auto& it = found->second;
     auto& on = m_workers.at(it.worker);
     auto const others = on.charged - it.charge();
-    auto const room = at_least_nothing(on.listed.capacity - others);
+    auto const room = not_negative(on.listed.capacity - others);
     auto const before = it.request.need;
-    // What it has already it keeps, even on a worker that is over its capacity.
+    // The attempt keeps what it already has, even on an overcommitted worker.
     it.request.need = {
         std::min(need.millicores, std::max(room.millicores, before.millicores)),
         std::min(need.memory_mb, std::max(room.memory_mb, before.memory_mb)),
@@ -178,7 +178,7 @@
             movable.push_back(&placed);
         }
     }
-    // The youngest loses least.
+    // The youngest tasks lose the least progress.
     std::sort(movable.begin(), movable.end(),
               [](auto const* a, auto const* b) { return a->since > b->since; });
     auto room = free_for(it, request.attempt);
@@ -196,8 +196,8 @@
                                       : std::vector<model::attempt_id>{};
 }
 
-hold_result group_ledger::make_room(hold_request const& request,
-                                    base::instant now)
+hold_result group_ledger::preempt_for(hold_request const& request,
+                                      base::instant now)
 {
     worker_state* best = nullptr;
     std::vector<model::attempt_id> fewest;
@@ -223,7 +223,8 @@
     {
         return {{hold_state::full, {}}, {}};
     }
-    best->claimed = claim{request.attempt, request.need, now + s_claim_span};
+    best->claimed =
+        claim{request.attempt, request.need, now + s_claim_duration};
     hold_result result{{hold_state::preempting, {}}, {}};
     for (auto const& it : fewest)
     {
--- a/libraries/placement/job_queue.cpp
+++ b/libraries/placement/job_queue.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-constexpr double s_full_retry_s = 5;
-constexpr std::size_t s_sweep_classes_at = 1024;
+constexpr double s_retry_after_s = 5;
+constexpr std::size_t s_min_classes_to_sweep = 1024;
 
 bool may_run(task_phase it)
 {
@@ -64,10 +64,11 @@
     auto const& contract = it.contract();
     if (request.tasks < 1)
     {
-        return base::fail(failure_code::invalid, "a job needs a task");
+        return base::fail(failure_code::invalid,
+                          "a job needs at least one task");
     }
     auto const& largest = m_groups.largest_worker();
-    auto const one = m_estimator.of(request, largest);
+    auto const one = m_estimator.estimate_for(request, largest);
     auto const known = !largest.empty();
     auto const need = one.confidence > 0 ? one.peak : request.declared;
     if (known && !need.fits_in(largest))
@@ -97,17 +98,17 @@
     if (known && request.kind == model::job_kind::gang &&
         m_groups.slots_when_empty(need) < together)
     {
-        return base::fail(
-            failure_code::invalid,
-            "all workers together are too small: they would hold " +
-                std::to_string(m_groups.slots_when_empty(need)) +
-                " such tasks, the gang has " + std::to_string(together));
+        return base::fail(failure_code::invalid,
+                          "all workers together are too small: they can run " +
+                              std::to_string(m_groups.slots_when_empty(need)) +
+                              " such tasks at once, the gang has " +
+                              std::to_string(together));
     }
     if (it.jobs >= contract.jobs_at_once)
     {
         return base::fail(failure_code::refused,
-                          "the contract has as many jobs as it may have",
-                          s_full_retry_s);
+                          "the contract has reached its maximum number of jobs",
+                          s_retry_after_s);
     }
     return base::done{};
 }
@@ -148,7 +149,7 @@
     }
     if (!m_account_index.contains(request.contract))
     {
-        // The contract is gone; what was accepted under it still gets done.
+        // The contract was removed; jobs accepted under it are still run.
         model::contract it;
         it.name = request.contract;
         set_contract(it);
@@ -184,13 +185,13 @@
     account_of(*job).jobs += 1;
     job->of_class = class_of(*job);
     auto& members = job->of_class->members;
-    job->member_at = members.size();
+    job->member_index = members.size();
     members.push_back(job.get());
     enqueue(job);
     return job;
 }
 
-std::shared_ptr<work_class> job_queue::class_of(job_record const& job)
+std::shared_ptr<job_class> job_queue::class_of(job_record const& job)
 {
     auto const& it = job.request;
     auto const key = it.name + '/' + std::to_string(static_cast<int>(it.kind)) +
@@ -199,7 +200,7 @@
                      std::to_string(it.declared.memory_mb) + '/' +
                      std::to_string(it.declared.accelerators);
     auto& classes = account_of(job).classes;
-    if (classes.size() >= s_sweep_classes_at)
+    if (classes.size() >= s_min_classes_to_sweep)
     {
         std::erase_if(classes,
                       [](auto const& each) { return each.second.expired(); });
@@ -208,7 +209,7 @@
     auto found = known.lock();
     if (found == nullptr)
     {
-        found = std::make_shared<work_class>();
+        found = std::make_shared<job_class>();
         found->key = key;
         found->account = job.account;
         found->urgent = it.urgent == model::urgency::urgent;
@@ -225,7 +226,8 @@
     }
     job->queued = true;
     auto& queue = job->of_class->jobs;
-    // Work that comes back goes before what came later.
+    // Jobs are ordered by acceptance, so a job that is queued again precedes
+    // jobs accepted after it.
     queue.insert(std::upper_bound(queue.begin(), queue.end(), job,
                                   [](auto const& a, auto const& b)
                                   { return a->accepted_at < b->accepted_at; }),
@@ -248,7 +250,7 @@
     m_waiting_tasks += 1;
 }
 
-void job_queue::forget_waiting(job_record& job)
+void job_queue::clear_waiting(job_record& job)
 {
     m_waiting_tasks -= static_cast<std::int64_t>(job.waiting.size());
     job.waiting.clear();
@@ -277,7 +279,7 @@
         }
         if (it.phase == task_phase::ordered)
         {
-            m_groups.answered(it.group, it.planned);
+            m_groups.on_answered(it.group, it.planned);
         }
         else if (it.phase == task_phase::running)
         {
@@ -290,8 +292,9 @@
     return actions;
 }
 
-queue_actions
-job_queue::close(job_record& job, model::job_state state, std::string detail)
+queue_actions job_queue::finish_job(job_record& job,
+                                    model::job_state state,
+                                    std::string detail)
 {
     auto actions = release_all(job);
     auto& account = account_of(job);
@@ -299,16 +302,16 @@
     {
         account.refund(it);
     }
-    forget_waiting(job);
+    clear_waiting(job);
     account.jobs -= 1;
     job.state = state;
     if (job.queued)
     {
-        job.of_class->dead += 1;
+        job.of_class->finished += 1;
     }
     auto& members = job.of_class->members;
-    members[job.member_at] = members.back();
-    members[job.member_at]->member_at = job.member_at;
+    members[job.member_index] = members.back();
+    members[job.member_index]->member_index = job.member_index;
     members.pop_back();
     drop_reservation(job.id);
     actions.outcomes.push_back({job.id, state, std::move(detail)});
@@ -323,7 +326,7 @@
     {
         return {};
     }
-    return close(*it, model::job_state::cancelled, "cancelled");
+    return finish_job(*it, model::job_state::cancelled, "cancelled");
 }
 
 std::optional<job_status> job_queue::status_of(std::string const& job) const
--- a/libraries/placement/job_queue.hpp
+++ b/libraries/placement/job_queue.hpp
@@ -25,7 +25,7 @@
 namespace berylhill::placement
 {
 
-/// How an attempt ended, as its group's owner tells it.
+/// The end of an attempt, as reported by its group's owner.
 struct attempt_end
 {
     model::attempt_id attempt;
@@ -36,7 +36,7 @@
     std::string detail;
 };
 
-/// What is known of a job, for status pages.
+/// State of a job, for status pages.
 struct job_status
 {
     model::job_request request;
@@ -44,82 +44,87 @@
     std::int32_t waiting{0};
     std::int32_t running{0};
     std::int32_t done{0};
-    /// Tasks that failed at least once and are not done.
+    /// Tasks that failed at least once and have not succeeded since.
     std::int32_t failed{0};
 };
 
-/// The state of a job owner: the jobs of some contracts, which of their tasks
-/// go where and in which order, and their outcomes. Pure; not thread-safe.
-/// Every event takes the instant at which it happens, and instants must not go
-/// back. Attempt numbers only rise; events of older attempts are ignored.
+/// The state of a job owner: the jobs of some contracts, the order and
+/// placement of their tasks, and their outcomes. Has no side effects; not
+/// thread-safe. Every event takes the instant at which it happens, and instants
+/// must not decrease. Attempt numbers only increase; events of older attempts
+/// are ignored.
 class job_queue
 {
 public:
-    /// `seed` drives the back-off. Attempts are numbered from `first_attempt`
-    /// on: a new owner of the same jobs gives a number above all that earlier
-    /// owners can have used.
+    /// `seed` initialises the random back-off. Attempts are numbered from
+    /// `first_attempt` on: a new owner of the same jobs passes a number above
+    /// all that earlier owners can have used.
     explicit job_queue(std::uint64_t seed, std::int32_t first_attempt = 1);
 
-    /// Adds a contract, or puts its new version in force for what is decided
-    /// from now on.
+    /// Adds or updates a contract. An update applies to decisions from now on.
     void set_contract(model::contract const& it);
 
     void update_group(group_digest const& it, base::instant now);
     void remove_group(std::string const& group);
 
-    /// Takes a job. Fails with `invalid` when it can never run, `not_found`
-    /// without a contract and `refused` when the contract is full now. A job
-    /// id that is known already is taken as the same job.
+    /// Adds a job. Fails with `invalid` when it can never run, `not_found`
+    /// when its contract is unknown and `refused` when the contract has reached
+    /// its number of jobs. A known job id denotes the same job and succeeds
+    /// without effect.
     base::result<base::done> submit(std::string const& id,
                                     model::job_request const& request,
                                     base::instant now);
 
-    /// Whether `submit` would take the job now; fails as it does.
+    /// Whether `submit` would accept the job now; fails as it does.
     [[nodiscard]] base::result<base::done>
     check_admission(model::job_request const& request) const;
 
-    /// Takes a job that was accepted earlier, without checking it again.
+    /// Restores a job that was accepted earlier, without admission checks.
     void restore(std::string const& id,
                  model::job_request const& request,
                  base::instant accepted_at);
-    /// A task of a restored job that has its outcome already.
+    /// Marks a task of a restored job as done.
     void restore_done(model::task_id const& task);
-    /// An attempt of a restored job that is found running. Releases it when a
-    /// newer one is known.
+    /// Restores a running attempt of a restored job. Releases it when another
+    /// attempt of the task is known or the job is not.
     queue_actions restore_running(model::attempt_id const& attempt,
                                   std::string const& group,
                                   model::resources const& planned,
                                   base::instant now);
 
-    /// Cancels a job: its holds are given back and its tasks stopped at once.
-    /// The outcome is among the actions; unknown jobs give none.
+    /// Cancels a job: its holds are released and its tasks stopped at once. The
+    /// actions contain the outcome; they are empty for an unknown job.
     queue_actions cancel(std::string const& job, base::instant now);
 
-    /// Decides on at most about `most` tasks; a gang is decided whole.
+    /// Places waiting tasks until at least `most` holds are requested or
+    /// nothing more fits. A gang may exceed this limit, as it is placed as a
+    /// whole.
     queue_actions decide(base::instant now, std::int32_t most);
 
-    /// The group's owner holds the attempt (mode `hold`). Released when it is
-    /// not wanted any more.
+    /// The group's owner granted a hold in mode `hold`. The attempt is released
+    /// when it is no longer needed.
     queue_actions on_held(model::attempt_id const& attempt,
                           std::string const& group,
                           base::instant now);
-    /// The attempt was started. Released when it is not wanted any more.
+    /// The attempt was started. It is released when it is no longer needed.
     queue_actions on_started(model::attempt_id const& attempt,
                              std::string const& group,
                              base::instant now);
-    /// The owner refused a hold, or a commit came too late. Nothing runs.
+    /// The group's owner refused a hold, or a commit came after the hold had
+    /// expired. The attempt does not run.
     queue_actions on_refused(model::attempt_id const& attempt,
                              hold_state why,
                              base::instant now);
-    /// No answer came: the same order again, since it may have been taken.
+    /// The last order for the attempt got no answer. Returns the same order, as
+    /// orders are idempotent and the first may have been carried out.
     queue_actions on_unanswered(model::attempt_id const& attempt);
     queue_actions on_finished(attempt_end const& it, base::instant now);
-    /// A running attempt's measured use.
+    /// Records the measured use of a running attempt.
     void on_usage(model::attempt_id const& attempt,
                   model::resources const& use);
 
-    /// When `decide` next has something to do without another event; `max` for
-    /// never.
+    /// When `decide` has to be called next if no other event comes before;
+    /// `max` for never.
     [[nodiscard]] base::instant next_wakeup() const;
 
     [[nodiscard]] std::optional<job_status>
@@ -137,7 +142,7 @@
 private:
     using job_pointer = std::shared_ptr<job_record>;
 
-    /// A contract's turn in one round of decisions.
+    /// A contract's entry in the priority queue of one decision round.
     struct turn
     {
         double share{0};
@@ -146,7 +151,8 @@
     };
     using turns = std::priority_queue<turn, std::vector<turn>, std::greater<>>;
 
-    /// A job that comes back to its queue at an instant.
+    /// A timer that puts a job, and a task of it if `task` is not -1, back into
+    /// its queue.
     struct wake
     {
         base::instant at{};
@@ -159,14 +165,14 @@
         }
     };
 
-    /// Groups kept for the job that has waited longest without finding room.
+    /// The reservation of groups for the job that has been blocked longest.
     struct reservation
     {
         std::string job;
         base::instant until{};
     };
 
-    // Life of a job (job_queue.cpp).
+    // Admission and removal of jobs (job_queue.cpp).
     job_pointer add(std::string const& id,
                     model::job_request const& request,
                     base::instant accepted_at);
@@ -176,70 +182,71 @@
     [[nodiscard]] contract_account& account_of(job_record const& it);
     void enqueue(job_pointer const& job);
     void make_waiting(job_record& job, std::int32_t index);
-    void forget_waiting(job_record& job);
-    std::shared_ptr<work_class> class_of(job_record const& job);
+    void clear_waiting(job_record& job);
+    std::shared_ptr<job_class> class_of(job_record const& job);
     queue_actions release_all(job_record& job);
     queue_actions
-    close(job_record& job, model::job_state state, std::string detail);
+    finish_job(job_record& job, model::job_state state, std::string detail);
 
     // Decisions (job_queue_decide.cpp).
-    void wake_due(base::instant now);
-    void wake_at(job_pointer const& job, std::int32_t task, base::instant at);
+    void process_wakeups(base::instant now);
+    void schedule_wakeup(job_pointer const& job,
+                         std::int32_t task,
+                         base::instant at);
     [[nodiscard]] turns turns_of(bool urgent) const;
     bool decide_one(turns& from,
                     bool urgent,
                     base::instant now,
                     queue_actions& actions);
-    work_class*
-    next_class(contract_account& it, bool urgent, base::instant now);
+    job_class* next_class(contract_account& it, bool urgent, base::instant now);
     [[nodiscard]] double order_key(contract_account const& account,
-                                   work_class const& it) const;
-    void drop_dead_front(work_class& it);
-    void sweep(contract_account& account);
-    void refresh(work_class& it);
+                                   job_class const& it) const;
+    void remove_finished_jobs(job_class& it);
+    void remove_idle_classes(contract_account& account);
+    void update_estimate(job_class& it);
     [[nodiscard]] bool can_ever_fit(job_record const& job,
                                     model::resources const& need) const;
-    bool place(work_class& it, base::instant now, queue_actions& actions);
-    bool place_task(work_class& it,
+    bool place(job_class& it, base::instant now, queue_actions& actions);
+    bool place_task(job_class& it,
                     job_pointer const& job,
                     base::instant now,
                     queue_actions& actions);
-    void order(job_pointer const& job,
-               std::int32_t index,
-               std::int32_t group,
-               hold_mode mode,
-               bool preempt,
-               queue_actions& actions);
-    [[nodiscard]] hold_order order_for(job_record const& job,
-                                       std::int32_t index) const;
+    void request_hold(job_pointer const& job,
+                      std::int32_t index,
+                      std::int32_t group,
+                      hold_mode mode,
+                      bool preempt,
+                      queue_actions& actions);
+    [[nodiscard]] hold_order hold_order_for(job_record const& job,
+                                            std::int32_t index) const;
 
     // Gangs (job_queue_gang.cpp).
-    bool place_gang(work_class& it,
+    bool place_gang(job_class& it,
                     job_pointer const& job,
                     base::instant now,
                     queue_actions& actions);
     void ask_next_group(job_pointer const& job,
                         base::instant now,
                         queue_actions& actions);
-    queue_actions gang_answered(job_pointer const& job, base::instant now);
-    queue_actions give_up_gang(job_pointer const& job, base::instant now);
+    queue_actions on_gang_answer(job_pointer const& job, base::instant now);
+    queue_actions release_gang(job_pointer const& job, base::instant now);
     queue_actions restart_gang(job_pointer const& job, base::instant now);
 
     // Reservations (job_queue_reserve.cpp).
-    void note_blocked(job_pointer const& job, base::instant now);
+    void record_blocked(job_pointer const& job, base::instant now);
     void reserve_if_due(base::instant now, queue_actions& to);
     void
     reserve_for(job_record const& job, base::instant now, queue_actions& to);
     void drop_reservation(std::string const& job);
 
-    void note_learnt(std::shared_ptr<work_class> const& it);
+    void mark_for_replan(std::shared_ptr<job_class> const& it);
     void replan(queue_actions& to);
     void replan_job(job_record& job, queue_actions& to);
 
-    // Ends (job_queue_events.cpp).
-    task_record* current(job_pointer const& job,
-                         model::attempt_id const& attempt);
-    void settle(job_record& job, task_record& it);
+    // Events of attempts (job_queue_events.cpp).
+    task_record* find_current(job_pointer const& job,
+                              model::attempt_id const& attempt);
+    void stop_accounting(job_record& job, task_record& it);
     queue_actions
     task_done(job_pointer const& job, std::int32_t index, base::instant now);
     queue_actions task_failed(job_pointer const& job,
@@ -263,13 +270,13 @@
     std::priority_queue<wake, std::vector<wake>, std::greater<>> m_wakes;
     std::uint64_t m_wake_order{0};
     std::optional<reservation> m_reservation;
-    /// Of this round's blocked jobs the one that is blocked longest.
+    /// The job that has been blocked longest among those blocked this round.
     job_pointer m_longest_blocked;
     std::uint64_t m_round{0};
     std::int32_t m_urgent_in_row{0};
     std::int64_t m_waiting_tasks{0};
-    /// Classes of which more is known since their tasks were planned.
-    std::vector<std::shared_ptr<work_class>> m_learnt;
+    /// Classes whose estimate has changed since their tasks were planned.
+    std::vector<std::shared_ptr<job_class>> m_to_replan;
 };
 
 } // namespace berylhill::placement
--- a/libraries/placement/job_queue_decide.cpp
+++ b/libraries/placement/job_queue_decide.cpp
@@ -10,24 +10,27 @@
 namespace
 {
 
-/// Normal work gets a turn after so many urgent decisions in a row.
-constexpr std::int32_t s_most_urgent_in_row = 16;
-/// Dead jobs are swept out when there are this many and they are the half.
-constexpr std::size_t s_sweep_at = 64;
-/// A job with a deadline goes ahead this long before its latest start.
+/// A normal job gets a turn after this many urgent decisions in a row.
+constexpr std::int32_t s_max_consecutive_urgent = 16;
+/// Finished jobs are removed from a class's queue when there are at least this
+/// many and they are at least half of it.
+constexpr std::size_t s_min_finished_to_sweep = 64;
+/// A job is ordered by its latest start (deadline minus run time) minus this
+/// margin where that is earlier than its normal order.
 constexpr double s_deadline_margin_s = 60;
-/// For contracts that prefer short waiting, a job of one second counts as if it
-/// had come this many seconds earlier than one of two seconds.
-constexpr double s_short_first = 4;
-/// For contracts that prefer packing, the largest task counts as if it had come
-/// this many seconds earlier than the smallest: small ones fill what is left.
-constexpr double s_large_first_s = 60;
+/// For contracts that prefer short waiting: each second of run time orders a
+/// job as if it had been accepted this many seconds later.
+constexpr double s_run_time_weight = 4;
+/// For contracts that prefer packing: a task as large as a worker is ordered as
+/// if it had been accepted this many seconds earlier than the smallest. Small
+/// tasks then fill the remaining gaps.
+constexpr double s_size_weight_s = 60;
 
 } // namespace
 
-void job_queue::wake_at(job_pointer const& job,
-                        std::int32_t task,
-                        base::instant at)
+void job_queue::schedule_wakeup(job_pointer const& job,
+                                std::int32_t task,
+                                base::instant at)
 {
     m_wakes.push({at, ++m_wake_order, job, task});
 }
@@ -37,7 +40,7 @@
     return m_wakes.empty() ? base::instant::max() : m_wakes.top().at;
 }
 
-void job_queue::wake_due(base::instant now)
+void job_queue::process_wakeups(base::instant now)
 {
     while (!m_wakes.empty() && m_wakes.top().at <= now)
     {
@@ -75,7 +78,7 @@
 queue_actions job_queue::decide(base::instant now, std::int32_t most)
 {
     queue_actions actions;
-    wake_due(now);
+    process_wakeups(now);
     replan(actions);
     m_round += 1;
     auto urgent = turns_of(true);
@@ -86,7 +89,7 @@
     };
     while (decided() < most && !(urgent.empty() && normal.empty()))
     {
-        auto const yields = m_urgent_in_row >= s_most_urgent_in_row;
+        auto const yields = m_urgent_in_row >= s_max_consecutive_urgent;
         if (!urgent.empty() && !(yields && !normal.empty()))
         {
             if (decide_one(urgent, true, now, actions))
@@ -127,7 +130,7 @@
     return placed;
 }
 
-void job_queue::drop_dead_front(work_class& it)
+void job_queue::remove_finished_jobs(job_class& it)
 {
     while (!it.jobs.empty())
     {
@@ -137,20 +140,21 @@
         {
             break;
         }
-        it.dead -= dead ? 1 : 0;
+        it.finished -= dead ? 1 : 0;
         front->queued = false;
         it.jobs.pop_front();
     }
-    if (it.dead < s_sweep_at || it.dead * 2 < it.jobs.size())
+    if (it.finished < s_min_finished_to_sweep ||
+        it.finished * 2 < it.jobs.size())
     {
         return;
     }
     std::erase_if(it.jobs,
                   [](auto const& job) { return model::is_final(job->state); });
-    it.dead = 0;
+    it.finished = 0;
 }
 
-void job_queue::refresh(work_class& it)
+void job_queue::update_estimate(job_class& it)
 {
     if (it.planned_round == m_round)
     {
@@ -158,14 +162,15 @@
     }
     it.planned_round = m_round;
     auto const& request = it.jobs.front()->request;
-    auto const found = m_estimator.of(request, m_groups.largest_worker());
+    auto const found =
+        m_estimator.estimate_for(request, m_groups.largest_worker());
     it.need = found.peak;
     it.run_s = found.run_s;
-    // The room above what is known must not keep a job waiting for ever that
-    // was accepted without it.
+    // A job that was accepted without the safety margin of the estimate must
+    // not wait for ever because of it.
     if (!can_ever_fit(*it.jobs.front(), it.need))
     {
-        it.need = found.least;
+        it.need = found.peak_without_margin;
     }
 }
 
@@ -183,17 +188,17 @@
 }
 
 double job_queue::order_key(contract_account const& account,
-                            work_class const& it) const
+                            job_class const& it) const
 {
     auto const& job = *it.jobs.front();
     auto key = base::seconds_of(job.accepted_at.time_since_epoch());
     if (account.contract().preferred == model::preference::waiting)
     {
-        key += s_short_first * it.run_s;
+        key += s_run_time_weight * it.run_s;
     }
     else
     {
-        key -= s_large_first_s *
+        key -= s_size_weight_s *
                dominant_share(it.need, m_groups.largest_worker());
     }
     if (job.request.deadline_s > 0)
@@ -204,12 +209,12 @@
     return key;
 }
 
-void job_queue::sweep(contract_account& account)
+void job_queue::remove_idle_classes(contract_account& account)
 {
     std::erase_if(account.active,
                   [&](auto const& each)
                   {
-                      drop_dead_front(*each);
+                      remove_finished_jobs(*each);
                       each->active = !each->jobs.empty();
                       account.active_urgent -=
                           !each->active && each->urgent ? 1 : 0;
@@ -217,12 +222,12 @@
                   });
 }
 
-work_class*
+job_class*
 job_queue::next_class(contract_account& account, bool urgent, base::instant now)
 {
-    work_class* best = nullptr;
+    job_class* best = nullptr;
     auto best_key = std::numeric_limits<double>::infinity();
-    sweep(account);
+    remove_idle_classes(account);
     for (auto const& each : account.active)
     {
         auto& it = *each;
@@ -231,7 +236,7 @@
         {
             continue;
         }
-        refresh(it);
+        update_estimate(it);
         auto const& job = *it.jobs.front();
         auto const gang = job.request.kind == model::job_kind::gang;
         auto const tasks =
@@ -251,7 +256,7 @@
     return best;
 }
 
-bool job_queue::place(work_class& it, base::instant now, queue_actions& actions)
+bool job_queue::place(job_class& it, base::instant now, queue_actions& actions)
 {
     auto const job = it.jobs.front();
     auto const placed = job->request.kind == model::job_kind::gang
@@ -259,12 +264,12 @@
                             : place_task(it, job, now, actions);
     if (!placed)
     {
-        note_blocked(job, now);
+        record_blocked(job, now);
         return false;
     }
     if (job->request.kind == model::job_kind::gang)
     {
-        // It comes back to the queue only if it does not get all its holds.
+        // The gang is queued again only if it does not get all its holds.
         it.jobs.pop_front();
         job->queued = false;
     }
@@ -275,7 +280,7 @@
     return true;
 }
 
-bool job_queue::place_task(work_class& it,
+bool job_queue::place_task(job_class& it,
                            job_pointer const& job,
                            base::instant now,
                            queue_actions& actions)
@@ -300,20 +305,21 @@
     auto const index = job->waiting.back();
     job->waiting.pop_back();
     m_waiting_tasks -= 1;
-    // What may run only once is committed after its intent is in the log.
+    // An at-most-once task is committed only after the intent to start it is in
+    // the log.
     auto const mode = job->request.safety == model::rerun::at_most_once
                           ? hold_mode::hold
                           : hold_mode::start;
-    order(job, index, group, mode, preempt, actions);
+    request_hold(job, index, group, mode, preempt, actions);
     return true;
 }
 
-void job_queue::order(job_pointer const& job,
-                      std::int32_t index,
-                      std::int32_t group,
-                      hold_mode mode,
-                      bool preempt,
-                      queue_actions& actions)
+void job_queue::request_hold(job_pointer const& job,
+                             std::int32_t index,
+                             std::int32_t group,
+                             hold_mode mode,
+                             bool preempt,
+                             queue_actions& actions)
 {
     auto& account = account_of(*job);
     auto const& of_class = *job->of_class;
@@ -327,16 +333,17 @@
     account.charge(it);
     if (it.number == m_first_attempt)
     {
-        account.note_first_start();
+        account.on_first_start();
     }
-    m_groups.ordered(group, it.planned);
-    auto found = order_for(*job, index);
+    m_groups.on_requested(group, it.planned);
+    auto found = hold_order_for(*job, index);
     found.mode = mode;
     found.request.may_preempt = preempt;
     actions.holds.push_back(std::move(found));
 }
 
-hold_order job_queue::order_for(job_record const& job, std::int32_t index) const
+hold_order job_queue::hold_order_for(job_record const& job,
+                                     std::int32_t index) const
 {
     auto const& it = job.tasks[static_cast<std::size_t>(index)];
     auto const& account = *m_accounts[static_cast<std::size_t>(job.account)];
@@ -358,7 +365,7 @@
     request.need = it.planned;
     request.expected_run_s = it.expected_run_s;
     request.command = job.request.command;
-    request.avoid.assign(job.failed_on.begin(), job.failed_on.end());
+    request.avoid.assign(job.failed_workers.begin(), job.failed_workers.end());
     return found;
 }
 
--- a/libraries/placement/job_queue_events.cpp
+++ b/libraries/placement/job_queue_events.cpp
@@ -10,17 +10,20 @@
 namespace
 {
 
-constexpr std::int16_t s_most_failures = 5;
-constexpr std::size_t s_distinct_workers = 3;
-constexpr std::int16_t s_far_too_many_failures = 12;
-/// So many workers lost under one task in a row make it the likely cause; one
-/// that had run for this long lost its worker for another reason.
-constexpr std::int16_t s_most_lapses = 5;
+/// A job fails when one of its tasks failed s_max_failures times and the job
+/// failed on s_min_failed_workers workers, or when a task failed
+/// s_max_failures_on_any_worker times wherever it ran.
+constexpr std::int16_t s_max_failures = 5;
+constexpr std::size_t s_min_failed_workers = 3;
+constexpr std::int16_t s_max_failures_on_any_worker = 12;
+/// A task that lost this many workers in a row is considered the cause. A loss
+/// after a run of at least s_harmless_run is attributed to another cause.
+constexpr std::int16_t s_max_consecutive_losses = 5;
 constexpr base::duration s_harmless_run{60'000'000};
 constexpr double s_first_back_off_s = 1;
-constexpr double s_longest_back_off_s = 300;
-constexpr std::int32_t s_most_doublings = 9;
-constexpr double s_no_budget_s = 10;
+constexpr double s_max_back_off_s = 300;
+constexpr std::int32_t s_max_doublings = 9;
+constexpr double s_no_token_delay_s = 10;
 constexpr base::duration s_refused_pause{20'000};
 constexpr base::duration s_preempting_pause{100'000};
 
@@ -34,8 +37,8 @@
 
 } // namespace
 
-task_record* job_queue::current(job_pointer const& job,
-                                model::attempt_id const& attempt)
+task_record* job_queue::find_current(job_pointer const& job,
+                                     model::attempt_id const& attempt)
 {
     auto const index = attempt.task.index;
     if (job == nullptr || index < 0 || index >= job->request.tasks)
@@ -46,11 +49,11 @@
     return it.number == attempt.number ? &it : nullptr;
 }
 
-void job_queue::settle(job_record& job, task_record& it)
+void job_queue::stop_accounting(job_record& job, task_record& it)
 {
     if (it.phase == task_phase::ordered)
     {
-        m_groups.answered(it.group, it.planned);
+        m_groups.on_answered(it.group, it.planned);
     }
     if (it.phase == task_phase::running)
     {
@@ -68,7 +71,7 @@
                                  base::instant now)
 {
     auto const job = find(attempt.task.job);
-    auto* const it = current(job, attempt);
+    auto* const it = find_current(job, attempt);
     if (it == nullptr || it->phase == task_phase::waiting ||
         it->phase == task_phase::stopping)
     {
@@ -78,12 +81,12 @@
     {
         return {};
     }
-    m_groups.answered(it->group, it->planned);
+    m_groups.on_answered(it->group, it->planned);
     it->phase = task_phase::held;
     if (job->request.kind == model::job_kind::gang)
     {
         job->held += 1;
-        return gang_answered(job, now);
+        return on_gang_answer(job, now);
     }
     it->phase = task_phase::committed;
     queue_actions actions;
@@ -96,11 +99,11 @@
                                     base::instant now)
 {
     auto const job = find(attempt.task.job);
-    auto* const it = current(job, attempt);
+    auto* const it = find_current(job, attempt);
     if (it == nullptr || it->phase == task_phase::waiting ||
         it->phase == task_phase::stopping)
     {
-        // The release went past the start on its way, or was lost.
+        // The release overtook the start order, or was lost.
         return release_of(group, attempt);
     }
     if (it->phase != task_phase::ordered && it->phase != task_phase::committed)
@@ -109,7 +112,7 @@
     }
     if (it->phase == task_phase::ordered)
     {
-        m_groups.answered(it->group, it->planned);
+        m_groups.on_answered(it->group, it->planned);
     }
     it->phase = task_phase::running;
     it->since = now;
@@ -124,7 +127,7 @@
                                     base::instant now)
 {
     auto const job = find(attempt.task.job);
-    auto* const it = current(job, attempt);
+    auto* const it = find_current(job, attempt);
     if (it == nullptr || it->phase == task_phase::running ||
         it->phase == task_phase::done || it->phase == task_phase::waiting)
     {
@@ -134,36 +137,37 @@
     auto const group = it->group;
     if (why != hold_state::preempting)
     {
-        m_groups.refused(it->group, it->planned);
+        m_groups.on_refused(it->group, it->planned);
     }
-    settle(*job, *it);
+    stop_accounting(*job, *it);
     auto const gang = job->request.kind == model::job_kind::gang;
     if (gang && it->phase == task_phase::ordered)
     {
         job->ordered -= 1;
         make_waiting(*job, attempt.task.index);
-        return gang_answered(job, now);
+        return on_gang_answer(job, now);
     }
     make_waiting(*job, attempt.task.index);
     if (gang)
     {
-        // One hold ran out while others were started: none may run without it.
+        // One hold expired while others were started. A gang runs only as a
+        // whole.
         job->not_before = now + s_refused_pause;
         return late_commit || job->state == model::job_state::running
                    ? restart_gang(job, now)
-                   : give_up_gang(job, now);
+                   : release_gang(job, now);
     }
     auto const making_room = why == hold_state::preempting;
     it->claimed_group = making_room ? group : -1;
     auto const pause = making_room ? s_preempting_pause : base::duration{0};
-    wake_at(job, -1, now + pause);
+    schedule_wakeup(job, -1, now + pause);
     return {};
 }
 
 queue_actions job_queue::on_unanswered(model::attempt_id const& attempt)
 {
     auto const job = find(attempt.task.job);
-    auto* const it = current(job, attempt);
+    auto* const it = find_current(job, attempt);
     queue_actions actions;
     if (it == nullptr)
     {
@@ -171,7 +175,7 @@
     }
     if (it->phase == task_phase::ordered)
     {
-        actions.holds.push_back(order_for(*job, attempt.task.index));
+        actions.holds.push_back(hold_order_for(*job, attempt.task.index));
     }
     else if (it->phase == task_phase::committed)
     {
@@ -188,22 +192,22 @@
                          model::resources const& use)
 {
     auto const job = find(attempt.task.job);
-    if (current(job, attempt) != nullptr)
+    if (find_current(job, attempt) != nullptr)
     {
-        m_estimator.learn_use(job->request, use);
+        m_estimator.record_usage(job->request, use);
     }
 }
 
 queue_actions job_queue::on_finished(attempt_end const& end, base::instant now)
 {
     auto const job = find(end.attempt.task.job);
-    auto* const it = current(job, end.attempt);
+    auto* const it = find_current(job, end.attempt);
     if (it == nullptr || it->phase == task_phase::done ||
         it->phase == task_phase::waiting)
     {
         return {};
     }
-    settle(*job, *it);
+    stop_accounting(*job, *it);
     auto const index = end.attempt.task.index;
     auto const once = job->request.safety == model::rerun::at_most_once;
     switch (end.end)
@@ -211,7 +215,7 @@
     case model::task_end::succeeded:
         if (m_estimator.learn(job->id, job->request, end.peak, end.run_s))
         {
-            note_learnt(job->of_class);
+            mark_for_replan(job->of_class);
         }
         if (job->request.kind == model::job_kind::service)
         {
@@ -225,8 +229,10 @@
     case model::task_end::stopped:
         if (once)
         {
-            return close(*job, model::job_state::failed,
-                         "stopped before its end, and may not run again");
+            return finish_job(
+                *job, model::job_state::failed,
+                "stopped before it ended; an at-most-once job is not "
+                "run again");
         }
         return run_again(job, index, now, now);
     case model::task_end::lapsed:
@@ -239,9 +245,10 @@
         break;
     }
     it->phase = task_phase::done;
-    return close(*job, model::job_state::outcome_unknown,
-                 "task " + std::to_string(index) +
-                     " may have run, and may not run again");
+    return finish_job(
+        *job, model::job_state::outcome_unknown,
+        "task " + std::to_string(index) +
+            " may have run; an at-most-once task is not run again");
 }
 
 queue_actions job_queue::task_done(job_pointer const& job,
@@ -249,17 +256,17 @@
                                    base::instant now)
 {
     job->tasks[static_cast<std::size_t>(index)].phase = task_phase::done;
-    job->failures_in_row = 0;
+    job->consecutive_failures = 0;
     job->unfinished -= 1;
     if (job->unfinished > 0)
     {
-        // A gang that is being stopped may end its last task well: what is
-        // left of it starts together again.
+        // The last task of a gang that is being stopped may succeed before the
+        // stop reaches it; the remaining tasks are then started together again.
         auto const gang = job->request.kind == model::job_kind::gang;
         return gang && !job->waiting.empty() ? restart_gang(job, now)
                                              : queue_actions{};
     }
-    return close(*job, model::job_state::succeeded, {});
+    return finish_job(*job, model::job_state::succeeded, {});
 }
 
 queue_actions job_queue::task_failed(job_pointer const& job,
@@ -269,32 +276,34 @@
 {
     auto& it = job->tasks[static_cast<std::size_t>(index)];
     it.failures += 1;
-    job->failures_in_row += 1;
-    job->failed_on.insert(end.worker);
+    job->consecutive_failures += 1;
+    job->failed_workers.insert(end.worker);
     job->failed_groups.insert(it.group);
     if (job->request.safety == model::rerun::at_most_once)
     {
-        return close(*job, model::job_state::failed,
-                     "task " + std::to_string(index) +
-                         " failed: " + end.detail);
+        return finish_job(*job, model::job_state::failed,
+                          "task " + std::to_string(index) +
+                              " failed: " + end.detail);
     }
-    auto const everywhere = it.failures >= s_most_failures &&
-                            job->failed_on.size() >= s_distinct_workers;
+    auto const everywhere = it.failures >= s_max_failures &&
+                            job->failed_workers.size() >= s_min_failed_workers;
+    // A service is never given up.
     auto const service = job->request.kind == model::job_kind::service;
-    if (!service && (everywhere || it.failures >= s_far_too_many_failures))
+    if (!service && (everywhere || it.failures >= s_max_failures_on_any_worker))
     {
-        return close(*job, model::job_state::failed,
-                     "task " + std::to_string(index) + " failed " +
-                         std::to_string(it.failures) + " times on " +
-                         std::to_string(job->failed_on.size()) +
-                         " workers: " + end.detail);
+        return finish_job(*job, model::job_state::failed,
+                          "task " + std::to_string(index) + " failed " +
+                              std::to_string(it.failures) + " times on " +
+                              std::to_string(job->failed_workers.size()) +
+                              " workers: " + end.detail);
     }
-    auto const doublings = std::min(job->failures_in_row - 1, s_most_doublings);
+    auto const doublings =
+        std::min(job->consecutive_failures - 1, s_max_doublings);
     auto longest =
-        std::min(s_first_back_off_s * (1 << doublings), s_longest_back_off_s);
-    if (!account_of(*job).take_retry())
+        std::min(s_first_back_off_s * (1 << doublings), s_max_back_off_s);
+    if (!account_of(*job).take_retry_token())
     {
-        longest += s_no_budget_s;
+        longest += s_no_token_delay_s;
     }
     boost::random::uniform_real_distribution<double> spread{longest / 2,
                                                             longest};
@@ -302,21 +311,23 @@
                      now);
 }
 
-/// Without a bound a task that crashes its workers takes one after the other
-/// from all others.
+/// Limits how many workers a task may lose in a row: a task that crashes its
+/// workers would otherwise take down one after the other.
 queue_actions job_queue::task_lapsed(job_pointer const& job,
                                      std::int32_t index,
                                      base::instant now)
 {
     auto& it = job->tasks[static_cast<std::size_t>(index)];
-    it.lapses = now - it.since < s_harmless_run
-                    ? static_cast<std::int16_t>(it.lapses + 1)
-                    : std::int16_t{0};
-    if (it.lapses >= s_most_lapses)
+    it.consecutive_losses =
+        now - it.since < s_harmless_run
+            ? static_cast<std::int16_t>(it.consecutive_losses + 1)
+            : std::int16_t{0};
+    if (it.consecutive_losses >= s_max_consecutive_losses)
     {
-        return close(*job, model::job_state::failed,
-                     "task " + std::to_string(index) + " lost " +
-                         std::to_string(it.lapses) + " workers in a row");
+        return finish_job(*job, model::job_state::failed,
+                          "task " + std::to_string(index) + " lost " +
+                              std::to_string(it.consecutive_losses) +
+                              " workers in a row; it may be crashing them");
     }
     return run_again(job, index, now, now);
 }
@@ -335,7 +346,7 @@
         return restart_gang(job, now);
     }
     it.phase = task_phase::waiting;
-    wake_at(job, index, at);
+    schedule_wakeup(job, index, at);
     return {};
 }
 
--- a/libraries/placement/job_queue_gang.cpp
+++ b/libraries/placement/job_queue_gang.cpp
@@ -11,12 +11,12 @@
 {
 
 constexpr double s_first_back_off_s = 0.05;
-constexpr double s_longest_back_off_s = 5;
-constexpr std::int32_t s_most_doublings = 7;
+constexpr double s_max_back_off_s = 5;
+constexpr std::int32_t s_max_doublings = 7;
 
 } // namespace
 
-bool job_queue::place_gang(work_class& it,
+bool job_queue::place_gang(job_class& it,
                            job_pointer const& job,
                            base::instant now,
                            queue_actions& actions)
@@ -42,13 +42,13 @@
     {
         return false;
     }
-    // The fewest groups: those with the most slots.
+    // Groups with the most slots first, so that the gang spans few groups.
     std::sort(offers.begin(), offers.end(),
               [](auto const& a, auto const& b) { return a.slots > b.slots; });
-    // A group's room is in pieces, one a worker, and each may hold one task
-    // less than its share promises. So many groups are asked that their pieces
-    // are enough for certain, in so far as there are such; those at the end are
-    // asked only when it turns out to be needed.
+    // A group's free capacity is split over its workers, and fragmentation may
+    // cost up to one task on each worker but the first. Enough groups are
+    // chosen to fit the gang even then, as far as there are enough; the last of
+    // them are asked only if the others did not suffice.
     std::int64_t certain = 0;
     auto const last =
         std::find_if(offers.begin(), offers.end(),
@@ -67,10 +67,10 @@
               [&](auto const& a, auto const& b) {
                   return m_groups.name_of(a.group) > m_groups.name_of(b.group);
               });
-    job->to_ask.clear();
+    job->groups_to_ask.clear();
     for (auto const& each : offers)
     {
-        job->to_ask.push_back(each.group);
+        job->groups_to_ask.push_back(each.group);
     }
     job->ordered = 0;
     job->held = 0;
@@ -83,10 +83,10 @@
                                queue_actions& actions)
 {
     auto const& it = *job->of_class;
-    while (!job->to_ask.empty() && !job->waiting.empty())
+    while (!job->groups_to_ask.empty() && !job->waiting.empty())
     {
-        auto const group = job->to_ask.back();
-        job->to_ask.pop_back();
+        auto const group = job->groups_to_ask.back();
+        job->groups_to_ask.pop_back();
         auto n = m_groups.slots(group, *job, it.need, it.run_s, now);
         auto const asked = n > 0;
         while (n-- > 0 && !job->waiting.empty())
@@ -95,7 +95,7 @@
             job->waiting.pop_back();
             m_waiting_tasks -= 1;
             job->ordered += 1;
-            order(job, index, group, hold_mode::hold, false, actions);
+            request_hold(job, index, group, hold_mode::hold, false, actions);
         }
         if (asked)
         {
@@ -104,8 +104,8 @@
     }
 }
 
-queue_actions job_queue::gang_answered(job_pointer const& job,
-                                       base::instant now)
+queue_actions job_queue::on_gang_answer(job_pointer const& job,
+                                        base::instant now)
 {
     queue_actions actions;
     if (job->held < job->ordered)
@@ -115,7 +115,7 @@
     if (!job->waiting.empty())
     {
         ask_next_group(job, now, actions);
-        return actions.holds.empty() ? give_up_gang(job, now) : actions;
+        return actions.holds.empty() ? release_gang(job, now) : actions;
     }
     for (std::int32_t index = 0; index < job->request.tasks; ++index)
     {
@@ -133,7 +133,7 @@
     return actions;
 }
 
-queue_actions job_queue::give_up_gang(job_pointer const& job, base::instant now)
+queue_actions job_queue::release_gang(job_pointer const& job, base::instant now)
 {
     auto actions = release_all(*job);
     auto& account = account_of(*job);
@@ -149,14 +149,14 @@
     job->ordered = 0;
     job->held = 0;
     job->rounds_failed += 1;
-    auto const doublings = std::min(job->rounds_failed, s_most_doublings);
+    auto const doublings = std::min(job->rounds_failed, s_max_doublings);
     auto const longest =
-        std::min(s_first_back_off_s * (1 << doublings), s_longest_back_off_s);
+        std::min(s_first_back_off_s * (1 << doublings), s_max_back_off_s);
     boost::random::uniform_real_distribution<double> spread{longest / 2,
                                                             longest};
     job->not_before = now + base::from_seconds(spread(m_random));
-    wake_at(job, -1, job->not_before);
-    note_blocked(job, now);
+    schedule_wakeup(job, -1, job->not_before);
+    record_blocked(job, now);
     return actions;
 }
 
@@ -171,10 +171,10 @@
     {
         return actions;
     }
-    // Every task that was stopped has ended: all of them start together again.
+    // All stopped tasks have ended; the gang can be started again as a whole.
     job->ordered = 0;
     job->held = 0;
-    wake_at(job, -1, std::max(now, job->not_before));
+    schedule_wakeup(job, -1, std::max(now, job->not_before));
     return actions;
 }
 
--- a/libraries/placement/job_queue_reserve.cpp
+++ b/libraries/placement/job_queue_reserve.cpp
@@ -9,29 +9,30 @@
 namespace
 {
 
-/// How long a job is blocked before room is kept for it.
-constexpr base::duration s_patience_waiting{1'000'000};
-constexpr base::duration s_patience_packing{15'000'000};
-/// Reservations are short, so that one whose owner is gone ends soon, and are
-/// renewed while their job waits.
-constexpr base::duration s_longest_reservation{30'000'000};
+/// How long a job is blocked before groups are reserved for it, by the
+/// preference of its contract.
+constexpr base::duration s_delay_if_waiting_preferred{1'000'000};
+constexpr base::duration s_delay_if_packing_preferred{15'000'000};
+/// Reservations are short, so that they expire soon when the job's owner is
+/// lost, and are renewed while the job waits.
+constexpr base::duration s_reservation_time{30'000'000};
 constexpr base::duration s_renewal_before{15'000'000};
-/// The share of a worker from which on a task is large.
+/// A task whose dominant share of the largest worker is below this is small.
 constexpr double s_large_task = 0.25;
 constexpr double s_first_step_s = 1;
-constexpr double s_longest_step_s = 4096;
+constexpr double s_max_step_s = 4096;
 
 } // namespace
 
-void job_queue::note_blocked(job_pointer const& job, base::instant now)
+void job_queue::record_blocked(job_pointer const& job, base::instant now)
 {
     job->blocked_since = std::min(job->blocked_since, now);
     auto const size =
         dominant_share(job->of_class->need, m_groups.largest_worker());
     if (job->request.kind != model::job_kind::gang && size < s_large_task)
     {
-        // Small tasks find room soon enough; keeping it for them would only
-        // leave it idle.
+        // Small tasks fit somewhere soon enough; a reservation for them would
+        // only leave capacity idle.
         return;
     }
     if (m_longest_blocked == nullptr ||
@@ -50,7 +51,8 @@
     }
     auto const packing =
         account_of(*job).contract().preferred == model::preference::packing;
-    auto const patience = packing ? s_patience_packing : s_patience_waiting;
+    auto const patience =
+        packing ? s_delay_if_packing_preferred : s_delay_if_waiting_preferred;
     if (now - job->blocked_since < patience)
     {
         return;
@@ -86,7 +88,8 @@
             if (it.phase == task_phase::running ||
                 it.phase == task_phase::committed)
             {
-                // A task that outran its estimate has half as long again.
+                // A task that exceeded its estimate is expected to run for half
+                // as long again.
                 auto const ran = now - it.since;
                 auto const run = std::max<base::duration>(
                     base::from_seconds(it.expected_run_s), ran + ran / 2);
@@ -95,7 +98,7 @@
         }
     }
     auto const groups = static_cast<std::size_t>(m_groups.size());
-    for (auto step = s_first_step_s; step <= s_longest_step_s; step *= 2)
+    for (auto step = s_first_step_s; step <= s_max_step_s; step *= 2)
     {
         auto const at = now + base::from_seconds(step);
         std::vector<model::resources> free(groups);
@@ -135,7 +138,7 @@
         std::sort(offers.begin(), offers.end(),
                   [](auto const& a, auto const& b)
                   { return a.slots > b.slots; });
-        m_reservation = reservation{job.id, now + s_longest_reservation};
+        m_reservation = reservation{job.id, now + s_reservation_time};
         std::int64_t kept = 0;
         for (auto const& it : offers)
         {
@@ -152,18 +155,18 @@
     }
 }
 
-void job_queue::note_learnt(std::shared_ptr<work_class> const& it)
+void job_queue::mark_for_replan(std::shared_ptr<job_class> const& it)
 {
     if (!it->replan)
     {
         it->replan = true;
-        m_learnt.push_back(it);
+        m_to_replan.push_back(it);
     }
 }
 
 void job_queue::replan(queue_actions& to)
 {
-    for (auto const& each : std::exchange(m_learnt, {}))
+    for (auto const& each : std::exchange(m_to_replan, {}))
     {
         each->replan = false;
         for (auto* const job : each->members)
@@ -176,7 +179,7 @@
 void job_queue::replan_job(job_record& job, queue_actions& to)
 {
     auto const need =
-        m_estimator.of(job.request, m_groups.largest_worker()).peak;
+        m_estimator.estimate_for(job.request, m_groups.largest_worker()).peak;
     auto& account = account_of(job);
     for (std::int32_t index = 0; index < job.request.tasks; ++index)
     {
@@ -188,7 +191,7 @@
         account.refund(it);
         if (!account.allows(need, 1))
         {
-            // More is known to be needed than the contract has left.
+            // The new estimate exceeds what is left of the contract's quota.
             account.charge(it);
             continue;
         }
--- a/libraries/placement/worker_health.cpp
+++ b/libraries/placement/worker_health.cpp
@@ -8,21 +8,21 @@
 namespace
 {
 
-constexpr double s_least_chance = 1e-4;
-constexpr double s_least_likely = 0.02;
-constexpr double s_most_likely = 0.98;
-constexpr base::duration s_first_span{30'000'000};
-constexpr base::duration s_longest_span{600'000'000};
+constexpr double s_min_probability = 1e-4;
+constexpr double s_min_likely = 0.02;
+constexpr double s_max_likely = 0.98;
+constexpr base::duration s_first_quarantine{30'000'000};
+constexpr base::duration s_max_quarantine{600'000'000};
 
 } // namespace
 
 void worker_health::ended(bool failed, double likely, base::instant now)
 {
-    m_probe_out = false;
+    m_probe_running = false;
     if (!failed)
     {
-        m_chance = 1;
-        m_span = {};
+        m_failure_run_probability = 1;
+        m_quarantine_time = {};
         m_state = health::good;
         return;
     }
@@ -31,8 +31,9 @@
         quarantine(now);
         return;
     }
-    m_chance *= std::clamp(likely, s_least_likely, s_most_likely);
-    if (m_state == health::good && m_chance < s_least_chance)
+    m_failure_run_probability *= std::clamp(likely, s_min_likely, s_max_likely);
+    if (m_state == health::good &&
+        m_failure_run_probability < s_min_probability)
     {
         quarantine(now);
     }
@@ -40,30 +41,31 @@
 
 void worker_health::advance(base::instant now)
 {
-    if (m_state == health::quarantined && now >= m_until)
+    if (m_state == health::quarantined && now >= m_quarantine_until)
     {
         m_state = health::probing;
-        m_probe_out = false;
+        m_probe_running = false;
     }
 }
 
 void worker_health::attempt_given()
 {
-    m_probe_out = m_state == health::probing;
+    m_probe_running = m_state == health::probing;
 }
 
 void worker_health::attempt_gone()
 {
-    m_probe_out = false;
+    m_probe_running = false;
 }
 
 void worker_health::quarantine(base::instant now)
 {
     m_state = health::quarantined;
-    m_span = m_span.count() == 0 ? s_first_span
-                                 : std::min(m_span * 2, s_longest_span);
-    m_until = now + m_span;
-    m_chance = 1;
+    m_quarantine_time = m_quarantine_time.count() == 0
+                            ? s_first_quarantine
+                            : std::min(m_quarantine_time * 2, s_max_quarantine);
+    m_quarantine_until = now + m_quarantine_time;
+    m_failure_run_probability = 1;
 }
 
 } // namespace berylhill::placement
