--- a/libraries/scheduler/account_ledger.cpp
+++ b/libraries/scheduler/account_ledger.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-/// How many tasks fit into one dimension, `most` at most.
+/// How many tasks fit into one resource dimension, at most `most`. A cap of 0
+/// means no limit.
 std::int64_t tasks_in(std::int64_t cap,
                       std::int64_t used,
                       std::int64_t task,
--- a/libraries/scheduler/account_ledger.hpp
+++ b/libraries/scheduler/account_ledger.hpp
@@ -13,46 +13,47 @@
 namespace berylhill::scheduler
 {
 
-/// What each client account may have running, and has: all that may be at
-/// work on some instance, whoever ordered it, until it has surely ended.
+/// The resource caps of the client accounts and the resources that each of them
+/// uses. An attempt counts from the moment it is ordered until it is certain
+/// that it has ended, whichever owner ordered it.
 ///
-/// Answers accounts that ask for more than their cap, whose orders are lost,
-/// carried out late or given by a former owner meanwhile.
+/// Keeps accounts within their caps even if orders are lost, carried out late
+/// or sent by a former owner.
 ///
 /// Pure. Not thread-safe.
 class account_ledger
 {
 public:
-    /// Sets the caps. An account that is not named keeps the cap that it had:
-    /// its jobs still run under their last rules.
+    /// Sets the caps. An account that is not named keeps its cap, since its
+    /// jobs continue under their last configuration.
     void set_accounts(std::vector<workload::account_spec> const& it);
 
-    /// An attempt of the account takes this from now on.
+    /// Adds the resources of one attempt to the usage of the account.
     void add(std::string_view account, workload::resources const& taken);
 
-    /// It has surely ended. Precondition: it was added.
+    /// Subtracts the resources of an attempt that has certainly ended.
+    /// Precondition: they were added.
     void remove(std::string_view account, workload::resources const& taken);
 
-    /// How many tasks of this size the account may start now, `most` at most.
+    /// How many tasks of this size the account may start now, at most `most`.
     /// Accounts without a cap have no limit.
     [[nodiscard]] std::uint32_t room_for(std::string_view account,
                                          workload::resources const& task,
                                          std::uint32_t most) const;
 
-    /// Whether so many tasks of this size are within the account's cap while
-    /// it has nothing else running.
+    /// Whether `tasks` tasks of this size are within the account's cap while it
+    /// uses nothing else.
     [[nodiscard]] bool can_hold(std::string_view account,
                                 workload::resources const& task,
                                 std::uint32_t tasks) const;
 
-    /// Whether the account has half of its cap or more running, in some
-    /// dimension.
+    /// Whether the account uses at least half of its cap in any dimension.
     [[nodiscard]] bool half_used(std::string_view account) const;
 
-    /// What the account has running.
+    /// The resources that the account uses.
     [[nodiscard]] workload::resources used(std::string_view account) const;
 
-    /// What the account may have running; 0 in a dimension: no limit.
+    /// The cap of the account; 0 in a dimension means no limit.
     [[nodiscard]] workload::resources cap(std::string_view account) const;
 
 private:
--- a/libraries/scheduler/account_shares.cpp
+++ b/libraries/scheduler/account_shares.cpp
@@ -8,10 +8,11 @@
 namespace
 {
 
-/// What an account may hand in at once, as seconds of what it is owed.
+/// Bucket size, in seconds of the account's rate.
 constexpr double burst_s = 2;
 
-/// Also the smallest account may hand so many in at once: jobs come by chance.
+/// Lower bound of the bucket size in jobs: even an account with a small weight
+/// submits jobs in random clusters.
 constexpr double least_burst = 4;
 
 double most_tokens(double weight)
--- a/libraries/scheduler/account_shares.hpp
+++ b/libraries/scheduler/account_shares.hpp
@@ -12,21 +12,22 @@
 namespace berylhill::scheduler
 {
 
-/// Which jobs of a client account are within what it is owed: as many a second
-/// as its weight says. What it hands in beyond that waits for all others.
+/// Decides which submitted jobs are within their client account's share, which
+/// is as many jobs per second as the account's weight. Jobs beyond it have
+/// lower priority than the jobs of all other accounts.
 ///
-/// Answers an account that hands in several times its usual for some seconds:
-/// without it, its jobs take the place of all the others'.
+/// Without it, an account that submits several times its usual rate for some
+/// seconds takes the place of all other accounts' jobs.
 ///
-/// A token bucket for each account. Pure. Not thread-safe.
+/// One token bucket per account. Pure. Not thread-safe.
 class account_shares
 {
 public:
-    /// An account that is not named keeps the weight that it had.
+    /// Sets the weights. An account that is not named keeps its weight.
     void set_accounts(std::vector<workload::account_spec> const& it);
 
-    /// Counts a job that is handed in now; returns whether the account is owed
-    /// it. One without a weight is owed all.
+    /// Counts a job that is submitted now. Returns whether it is within the
+    /// account's share; always true for an account without a weight.
     [[nodiscard]] bool take(std::string_view account, base::instant now);
 
 private:
--- a/libraries/scheduler/advice_budget.cpp
+++ b/libraries/scheduler/advice_budget.cpp
@@ -6,9 +6,9 @@
 namespace
 {
 
-/// The share of the machines that long questions may take before what only
-/// adds to knowledge is left out. The rest is for short questions, and for
-/// those that some work needs to start at all.
+/// Share of the machines that long advice requests may occupy before optional
+/// requests are left out. The rest is reserved for short requests and for
+/// requests without which work cannot start.
 constexpr double most_busy = 0.7;
 
 } // namespace
--- a/libraries/scheduler/advice_budget.hpp
+++ b/libraries/scheduler/advice_budget.hpp
@@ -10,43 +10,45 @@
 namespace berylhill::scheduler
 {
 
-/// How much may be asked of the service of advice beyond what is needed. It
-/// answers one question at a time for each machine that asks, so the machines'
-/// time is all there is; questions that only add to what a gang knows use the
-/// part of it that nothing else does.
+/// Limits optional requests to the advice service. The service answers one
+/// request at a time for each machine that asks, so its capacity is the number
+/// of these machines. Requests that only let a gang know more instances use the
+/// capacity that nothing else needs.
 ///
-/// Answers a load of wide gangs on many machines and on few: with 97 machines
-/// most of the time is free, and a gang that knows more of the instances
-/// starts sooner; with 30 the same questions held up all other work.
+/// With 97 machines most of the capacity is free, and a gang that knows more
+/// instances starts sooner; with 30 machines the same requests delayed all
+/// other work.
 ///
 /// Pure. Not thread-safe.
 class advice_budget
 {
 public:
-    /// How many machines can ask now, this one included.
+    /// Sets how many machines can send advice requests now, including this one.
     void set_machines(std::size_t n)
     {
         m_machines = n;
     }
 
-    /// A question of the step was decided on; it takes the service so long.
+    /// Counts a request of the step that the service is expected to process for
+    /// `expected`.
     void asked(workload::step_name const& of, base::duration expected);
 
-    /// A question of the step has ended, with or without an answer.
+    /// A request of the step has ended, with or without an answer. Does nothing
+    /// for a request that was not counted.
     void ended(workload::step_name const& of);
 
-    /// How many long questions may be added now that none has to wait for.
+    /// How many long requests can be sent now without delaying others.
     [[nodiscard]] std::size_t spare() const;
 
 private:
     std::size_t m_machines{1};
     std::size_t m_long{0};
-    /// By step: its long questions without an end.
+    /// Number of unanswered long requests by step.
     std::map<workload::step_name, std::uint32_t> m_open;
 };
 
-/// A question that takes the service longer than this counts as long. Those
-/// for urgent work take some 13 ms, the others 140 to 1,400 ms.
+/// Requests that take the service longer than this count as long. Requests for
+/// urgent work take about 13 ms, the others 140 to 1,400 ms.
 inline constexpr base::duration short_advice_request =
     std::chrono::milliseconds{50};
 
--- a/libraries/scheduler/decision_log.hpp
+++ b/libraries/scheduler/decision_log.hpp
@@ -8,7 +8,7 @@
 namespace berylhill::scheduler
 {
 
-/// Where decisions are written for people to read afterwards.
+/// Log of the scheduler's decisions for operators.
 class decision_log
 {
 public:
@@ -17,7 +17,7 @@
     decision_log& operator=(decision_log const&) = delete;
     virtual ~decision_log() = default;
 
-    /// One line. Never blocks.
+    /// Writes one line. Never blocks.
     virtual void write(base::log_level level,
                        std::string_view event,
                        std::initializer_list<base::log_field> fields) = 0;
--- a/libraries/scheduler/gang_plan.cpp
+++ b/libraries/scheduler/gang_plan.cpp
@@ -10,12 +10,13 @@
 namespace
 {
 
-/// A plan made anew leaves an instance only for one that is free so much
-/// sooner. Estimates move by some hundred milliseconds with each report, and a
-/// plan that follows them never has its slots together.
+/// A new plan replaces an instance of the previous plan only by one that is
+/// free this much sooner. Estimates change by some hundred milliseconds with
+/// each report; a plan that followed every change would never have its slots
+/// free together.
 constexpr base::duration keep_bonus = std::chrono::milliseconds{300};
 
-/// More slots on an instance, from some time on.
+/// Slots that become free on an instance at a given time.
 struct more_slots
 {
     base::instant at;
@@ -25,7 +26,7 @@
 
 void add_slots(std::vector<more_slots>& to,
                workload::step_spec const& step,
-               coming_room const& from,
+               room_forecast const& from,
                std::size_t index,
                base::instant now)
 {
@@ -55,7 +56,7 @@
 
 std::optional<gang_plan> plan_gang(workload::step_spec const& step,
                                    std::uint32_t slots,
-                                   std::vector<coming_room> const& from,
+                                   std::vector<room_forecast> const& from,
                                    base::instant now)
 {
     std::vector<more_slots> all;
--- a/libraries/scheduler/gang_plan.hpp
+++ b/libraries/scheduler/gang_plan.hpp
@@ -13,39 +13,41 @@
 namespace berylhill::scheduler
 {
 
-/// What an instance that a gang may use has free, and what comes free as its
-/// work ends. A value.
-struct coming_room
+/// Free resources of an instance that a gang may use, and the resources that
+/// become free as its attempts end. A value.
+struct room_forecast
 {
     workload::resources room;
-    /// When each attempt there is expected to end, and what it takes.
+    /// For each attempt on the instance, the expected end and the resources
+    /// that it uses.
     std::vector<std::pair<base::instant, workload::resources>> ends;
-    /// It was planned on before.
+    /// The previous plan of the gang includes the instance.
     bool planned_before{false};
 
-    friend bool operator==(coming_room const&, coming_room const&) = default;
+    friend bool operator==(room_forecast const&,
+                           room_forecast const&) = default;
 };
 
-/// When a gang can start, and on which of the instances. A value.
+/// When a gang can start and on which of the instances. A value.
 struct gang_plan
 {
     base::instant start{};
-    /// Indexes of the instances, those with most slots first.
+    /// Indexes into the given instances, in descending order of slots.
     std::vector<std::size_t> instances;
 
     friend bool operator==(gang_plan const&, gang_plan const&) = default;
 };
 
-/// The earliest time at which `slots` tasks of the step fit, and as few
-/// instances as hold them then. Nothing where they never do.
+/// Returns the earliest time at which `slots` tasks of the step fit, and a
+/// minimal set of instances that hold them then; nothing if they never fit.
 ///
-/// Answers a full cell: a gang whose slots come free one by one loses each to
-/// smaller work, unless those that will be free together, and soonest, are
-/// kept for it. Pure.
+/// In a full cell, a gang whose slots become free one by one loses each of them
+/// to smaller tasks. Reserving the instances whose slots are free together
+/// soonest prevents that. Pure.
 [[nodiscard]] std::optional<gang_plan>
 plan_gang(workload::step_spec const& step,
           std::uint32_t slots,
-          std::vector<coming_room> const& from,
+          std::vector<room_forecast> const& from,
           base::instant now);
 
 } // namespace berylhill::scheduler
--- a/libraries/scheduler/instance.cpp
+++ b/libraries/scheduler/instance.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// An instance names its kind first and its rack second.
+/// Index of the rack among the labels of an instance; the kind has index 0.
 constexpr std::size_t rack_label = 1;
 
 std::int64_t milliseconds_of(base::duration it)
@@ -71,8 +71,9 @@
     }
     auto const since = now - *m_clock_read_at;
     auto const until = m_clock_ms + milliseconds_of(since + rules.lease);
-    // The instance read its clock before we did, so by ours the lease lapses
-    // no later than this, however slow its clock is.
+    // The instance read its clock before this process received the reading, so
+    // by the local clock the lease expires no later than this, however slow the
+    // instance's clock is.
     auto const length = static_cast<double>((since + rules.lease).count()) /
                         (1.0 - rules.slow_clock_share);
     auto const end = *m_clock_read_at +
@@ -137,11 +138,11 @@
         { return it.second.state != attempt_state::planned; });
 }
 
-std::uint32_t instance::suspects_beside(workload::job_id it) const
+std::uint32_t instance::other_suspects(workload::job_id it) const
 {
     return static_cast<std::uint32_t>(std::ranges::count_if(
         m_attempts, [it](auto const& each)
-        { return each.second.suspect && each.first.task.of.job != it; }));
+        { return each.second.suspect && each.first.task.step.job != it; }));
 }
 
 bool instance::has_label(std::string const& label) const
--- a/libraries/scheduler/instance.hpp
+++ b/libraries/scheduler/instance.hpp
@@ -15,7 +15,8 @@
 namespace berylhill::scheduler
 {
 
-/// What the platform's list says of an instance that runs tasks. A value.
+/// An instance that runs tasks, as described by the platform's endpoint list. A
+/// value.
 struct instance_info
 {
     std::string id;
@@ -24,59 +25,61 @@
     std::string address;
     std::string zone;
     workload::resources capacity;
-    /// Its kind and its rack.
+    /// Its kind and its rack, in this order.
     std::vector<std::string> labels;
     bool draining{false};
-    /// Of one that drains: how long it stays at least.
+    /// The minimum time that a draining instance remains.
     std::optional<base::duration> min_stay;
 
     friend bool operator==(instance_info const&,
                            instance_info const&) = default;
 };
 
-/// Where an attempt stands, as its owner knows.
+/// State of an attempt as known by the owner.
 enum class attempt_state : std::uint8_t
 {
-    /// The decision is being stored; no order has left.
+    /// The decision is being stored; no order has been sent.
     planned,
-    /// An order has left; it may be carried out at any time.
+    /// An order has been sent and may be carried out at any time.
     sent,
-    /// A former owner stored the decision; whether its order was carried out
-    /// is not known.
+    /// A former owner stored the decision; it is unknown whether the order was
+    /// carried out.
     inherited,
     running,
 };
 
-/// A start that takes room on an instance until it has surely ended.
+/// A task's start on an instance. It uses resources there until it is certain
+/// that it has ended.
 struct attempt
 {
     attempt_state state{attempt_state::planned};
     workload::resources need;
-    /// An attempt of a job that has finished may be found running: what it
-    /// takes is then not known any more.
+    /// False for an attempt found running whose job has finished and whose
+    /// resource need is therefore unknown.
     bool need_known{true};
-    /// What it takes of its client account's cap, and the account; empty: it
-    /// belongs to none.
+    /// The resources charged to the client account, and the account; empty if
+    /// the job has none.
     workload::resources of_cap;
     std::string account;
     std::string ticket;
     bool stop_wanted{false};
-    /// An order without an answer may be carried out later.
+    /// An order got no answer and may be carried out later.
     bool unanswered{false};
-    /// Instances were lost under its task before.
+    /// Instances were lost while they ran earlier attempts of the task.
     bool suspect{false};
     std::uint32_t tries{0};
-    /// When the next order is sent, while one is needed.
+    /// When the next order is sent; empty if none is needed.
     std::optional<base::instant> next_try;
-    /// From then on no order of it can still take effect: a report that was
-    /// asked for later and does not name it shows that it is gone.
+    /// From this time on no order of the attempt can take effect. A report that
+    /// was requested later and does not contain the attempt shows that it no
+    /// longer exists.
     std::optional<base::instant> settled_at;
     base::instant began_at{};
     std::string checkpoint;
     int percent{0};
-    /// When `percent` last rose.
+    /// When `percent` last increased.
     base::instant progressed_at{};
-    /// When its instance last said that it runs.
+    /// When the instance last reported it as running.
     base::instant seen_at{};
 
     /// For how long it is known to have run.
@@ -88,21 +91,21 @@
     }
 };
 
-/// What the owner knows of one instance, and the only count of its room.
-/// Not thread-safe.
+/// The owner's state for one instance, including the only accounting of its
+/// free resources. Not thread-safe.
 class instance
 {
 public:
-    /// `lease_end` is when leases granted by former owners have surely
-    /// lapsed; `number` is unique among the instances of one book. What its
-    /// attempts take is counted in `ledger` too, which outlives it; null: in
-    /// none.
+    /// `lease_end` is the time by which all leases granted by former owners
+    /// have certainly expired; `number` is unique among the instances of one
+    /// table. The resources of the instance's attempts are also counted in
+    /// `ledger`, which must outlive the instance and may be null.
     instance(std::string id,
              base::instant lease_end,
              std::uint32_t number = 0,
              account_ledger* ledger = nullptr);
 
-    /// Stands for its name where names are compared often.
+    /// Unique number of the instance, cheaper to compare than its id.
     [[nodiscard]] std::uint32_t number() const noexcept
     {
         return m_number;
@@ -118,22 +121,23 @@
         return m_listed;
     }
 
-    /// The platform's list names it, with this.
+    /// Updates the instance from an entry of the platform's endpoint list.
     void list(instance_info it, base::instant now);
 
-    /// When it leaves at the earliest; nothing while it does not drain.
+    /// The earliest time at which a draining instance leaves; empty if it does
+    /// not drain.
     [[nodiscard]] std::optional<base::instant> leaves_at() const noexcept
     {
         return m_leaves_at;
     }
 
-    /// The platform's list no longer names it.
+    /// Marks the instance as no longer present in the platform's endpoint list.
     void unlist()
     {
         m_listed = false;
     }
 
-    /// A report was received under the present owner's token: nothing that a
+    /// A report was received under the present owner's token, so nothing that a
     /// former owner sends takes effect any more.
     [[nodiscard]] bool fenced() const noexcept
     {
@@ -150,17 +154,18 @@
         m_reachable = false;
     }
 
-    /// An answer with the instance's clock was read.
+    /// Records a reading of the instance's clock.
     void heard(base::instant at, std::int64_t clock_ms);
 
-    /// As `heard`, of a report: the instance is fenced and reachable.
+    /// As `heard`, for a report: marks the instance as fenced and reachable.
     void reported(base::instant at, std::int64_t clock_ms);
 
-    /// The end, on the instance's clock, of a lease granted now; 0 while its
-    /// clock is unknown. Remembers when the lease has lapsed at the latest.
+    /// Grants a lease that starts now. Returns its end in milliseconds on the
+    /// instance's clock, or 0 while that clock is unknown, and records the
+    /// latest time at which the lease expires.
     [[nodiscard]] std::int64_t grant(base::instant now, policy const& rules);
 
-    /// After it everything that was granted has lapsed.
+    /// After this time all granted leases have expired.
     [[nodiscard]] base::instant lease_end() const noexcept
     {
         return m_lease_end;
@@ -177,27 +182,27 @@
         m_paused_until = std::max(m_paused_until, until);
     }
 
-    /// Capacity less all that may be running.
+    /// Capacity minus the resources of all attempts that may be running.
     [[nodiscard]] workload::resources room() const noexcept
     {
         return m_info.capacity - m_used;
     }
 
-    /// It has shrunk, and more may be running than it holds. What is merely
-    /// found running there after a takeover is no reason to take back what
-    /// was decided within its room.
-    [[nodiscard]] bool overfull() const noexcept
+    /// The capacity was reduced and attempts may use more than is left.
+    /// Attempts that are merely found running after a takeover do not count as
+    /// a reason to revoke starts that fitted when they were decided.
+    [[nodiscard]] bool over_capacity() const noexcept
     {
         return m_shrunk && !workload::fits({}, room());
     }
 
-    /// `room`, once the stops under way are done.
+    /// `room` plus the resources of attempts that are being stopped.
     [[nodiscard]] workload::resources room_soon() const;
 
-    /// Precondition: not known yet.
+    /// Precondition: the attempt is not present.
     attempt& add(attempt_name const& name, attempt it);
 
-    /// Does nothing where it is not known.
+    /// Does nothing if the attempt is not present.
     void remove(attempt_name const& name);
 
     [[nodiscard]] attempt* find(attempt_name const& name);
@@ -213,10 +218,10 @@
         return m_attempts;
     }
 
-    /// Some attempt may be running: not all are merely planned.
+    /// Whether any attempt may be running, that is, not all are merely planned.
     [[nodiscard]] bool holds_sent() const;
 
-    /// Ends up to this number are stored.
+    /// Ends up to this number have been stored.
     [[nodiscard]] std::uint64_t seen_end() const noexcept
     {
         return m_seen_end;
@@ -227,23 +232,24 @@
         m_seen_end = std::max(m_seen_end, n);
     }
 
-    /// Attempts of other jobs under whose tasks instances were lost before.
-    [[nodiscard]] std::uint32_t suspects_beside(workload::job_id it) const;
+    /// Number of attempts here that belong to other jobs and are suspected of
+    /// crashing instances.
+    [[nodiscard]] std::uint32_t other_suspects(workload::job_id it) const;
 
     [[nodiscard]] bool has_label(std::string const& label) const;
 
-    /// The label that names its rack; empty where it has none.
+    /// The label that names its rack; empty if it has none.
     [[nodiscard]] std::string const& rack() const noexcept
     {
         return m_rack;
     }
 
-    /// Failures of tasks since the last success.
+    /// Number of task failures since the last success.
     std::uint32_t failures_in_a_row{0};
-    /// The round of decisions in which it was last kept free for a gang.
-    std::uint64_t kept_free_in{0};
-    /// Until when, as that gang is planned.
-    base::instant kept_free_until{};
+    /// The last scheduling round in which the instance was reserved for a gang.
+    std::uint64_t reserved_in_round{0};
+    /// The planned start of that gang.
+    base::instant reserved_until{};
 
 private:
     instance_info m_info;
@@ -256,8 +262,8 @@
     bool m_fenced{false};
     bool m_reachable{false};
     workload::resources m_used;
-    /// Attempts whose need is not known: nothing is added beside them, or the
-    /// instance could get more than it holds.
+    /// Number of attempts whose resource need is unknown. While there are any,
+    /// nothing else is placed here, since the instance could be overcommitted.
     std::size_t m_unknown_needs{0};
     std::map<attempt_name, attempt> m_attempts;
     std::uint64_t m_seen_end{0};
--- a/libraries/scheduler/instance_book.cpp
+++ b/libraries/scheduler/instance_table.cpp
@@ -1,4 +1,4 @@
-#include <scheduler/instance_book.hpp>
+#include <scheduler/instance_table.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -6,13 +6,13 @@
 namespace berylhill::scheduler
 {
 
-void instance_book::list(instance_info it, base::instant now)
+void instance_table::list(instance_info it, base::instant now)
 {
     auto& known = get(it.id);
     known.list(std::move(it), now);
 }
 
-void instance_book::unlist(std::string const& id)
+void instance_table::unlist(std::string const& id)
 {
     if (auto* const it = find(id); it != nullptr)
     {
@@ -20,7 +20,7 @@
     }
 }
 
-instance& instance_book::get(std::string const& id)
+instance& instance_table::get(std::string const& id)
 {
     auto& at = m_instances[id];
     if (!at)
@@ -31,21 +31,21 @@
     return *at;
 }
 
-instance* instance_book::find(std::string const& id)
+instance* instance_table::find(std::string const& id)
 {
     auto const at = m_instances.find(id);
     return at == m_instances.end() ? nullptr : at->second.get();
 }
 
-std::shared_ptr<instance> instance_book::share(std::string_view id) const
+std::shared_ptr<instance> instance_table::share(std::string_view id) const
 {
     auto const at = m_instances.find(id);
     return at == m_instances.end() ? nullptr : at->second;
 }
 
 std::vector<instance const*>
-instance_book::roomiest(std::size_t most,
-                        std::function<bool(instance const&)> const& fits)
+instance_table::roomiest(std::size_t most,
+                         std::function<bool(instance const&)> const& fits)
 {
     std::vector<instance const*> out;
     auto it = m_instances.size() > most ? m_instances.upper_bound(m_looked_at)
@@ -71,7 +71,7 @@
     return out;
 }
 
-void instance_book::forget_idle()
+void instance_table::forget_idle()
 {
     std::erase_if(
         m_instances, [](auto const& it)
--- a/libraries/scheduler/instance_book.hpp
+++ b/libraries/scheduler/instance_table.hpp
@@ -13,22 +13,22 @@
 namespace berylhill::scheduler
 {
 
-/// All instances that are listed, or on which something may still run. Not
+/// All instances that are listed or on which attempts may still run. Not
 /// thread-safe; references stay valid until `forget_idle`.
-class instance_book
+class instance_table
 {
 public:
     using instance_map =
         std::map<std::string, std::shared_ptr<instance>, std::less<>>;
 
-    /// `former_lease_end`: when leases granted before this book was made have
-    /// surely lapsed.
-    explicit instance_book(base::instant former_lease_end)
+    /// `former_lease_end`: the time by which all leases granted before this
+    /// table was created have certainly expired.
+    explicit instance_table(base::instant former_lease_end)
         : m_former_lease_end{former_lease_end}
     {
     }
 
-    /// What the client accounts have running on all instances.
+    /// The resources that client accounts use on all instances.
     [[nodiscard]] account_ledger& accounts() noexcept
     {
         return *m_accounts;
@@ -39,21 +39,21 @@
         return *m_accounts;
     }
 
-    /// The platform's list names it; made where it is not known.
+    /// Adds or updates an instance from the platform's endpoint list.
     void list(instance_info it, base::instant now);
 
-    /// The platform's list no longer names it.
+    /// The platform's endpoint list no longer contains the instance.
     void unlist(std::string const& id);
 
-    /// The instance, made where it is not known: a former owner may have
-    /// placed work there.
+    /// Returns the instance and creates it if it is unknown, since a former
+    /// owner may have placed attempts there.
     [[nodiscard]] instance& get(std::string const& id);
 
-    /// Null where it is not known.
+    /// Returns null if the instance is unknown.
     [[nodiscard]] instance* find(std::string const& id);
 
-    /// As `find`, for those who keep it: the object outlives its entry here,
-    /// and is then not listed.
+    /// As `find`, for callers that keep the instance. The object outlives its
+    /// entry in this table and is then not listed.
     [[nodiscard]] std::shared_ptr<instance> share(std::string_view id) const;
 
     [[nodiscard]] instance_map& all() noexcept
@@ -66,23 +66,24 @@
         return m_instances;
     }
 
-    /// So many at most of those that `fits` takes, with most processor time
-    /// free first. Where there are more, the next call goes on with others.
+    /// Returns at most `most` instances for which `fits` returns true, in
+    /// descending order of free processor time. If there are more, the next
+    /// call continues after the last instance examined.
     [[nodiscard]] std::vector<instance const*>
     roomiest(std::size_t most,
              std::function<bool(instance const&)> const& fits);
 
-    /// Drops those that are not listed and hold nothing.
+    /// Removes instances that are not listed and have no attempts.
     void forget_idle();
 
 private:
-    /// Before the instances, which count in it to their end.
+    /// Declared before the instances, which refer to it in their destructors.
     std::unique_ptr<account_ledger> m_accounts{
         std::make_unique<account_ledger>()};
     instance_map m_instances;
     base::instant m_former_lease_end;
     std::uint32_t m_last_number{0};
-    /// Which one was last looked at by `roomiest`.
+    /// Id of the instance that `roomiest` examined last.
     std::string m_looked_at;
 };
 
--- a/libraries/scheduler/job.cpp
+++ b/libraries/scheduler/job.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// What the client estimated for each step.
+/// The client's run time estimate for each step.
 std::vector<base::duration>
 estimates_of(std::vector<workload::step_spec> const& steps)
 {
@@ -22,9 +22,10 @@
     return out;
 }
 
-/// For each step, its own time and the longest of those that wait for it.
-/// Steps may name later steps, so it goes on until nothing changes; a job
-/// whose steps wait in a circle is refused before it gets here.
+/// For each step, the length of the longest dependency chain that begins with
+/// it. Steps may depend on later ones, so the computation is repeated until
+/// nothing changes; jobs with cyclic dependencies are rejected before they get
+/// here.
 std::vector<base::duration>
 chains_of(std::vector<workload::step_spec> const& steps,
           std::vector<base::duration> const& times)
@@ -128,7 +129,7 @@
                                { return it.second.complete(); });
 }
 
-void job::note_leftovers()
+void job::collect_remaining_attempts()
 {
     for (auto const& [number, in] : occurrences)
     {
@@ -140,7 +141,7 @@
             {
                 if (tasks[n].phase == task_phase::placed)
                 {
-                    leftovers.push_back(
+                    remaining_attempts.push_back(
                         {{{{m_spec.id, number, s}, n}, tasks[n].run},
                          tasks[n].instance,
                          spec.reserved_need(),
@@ -151,9 +152,9 @@
     }
 }
 
-void job::shed()
+void job::release_details()
 {
-    note_leftovers();
+    collect_remaining_attempts();
     m_spec.payload.clear();
     m_spec.payload.shrink_to_fit();
     occurrences.clear();
--- a/libraries/scheduler/job.hpp
+++ b/libraries/scheduler/job.hpp
@@ -32,14 +32,14 @@
            it == job_phase::cancelled;
 }
 
-/// For logs.
+/// The name of the phase for log lines.
 [[nodiscard]] char const* name_of(job_phase it);
 
-/// Whether a client account is owed a job, or has handed in more than that.
+/// Whether a job was submitted within its client account's share.
 enum class share_standing : std::uint8_t
 {
-    owed,
-    beyond,
+    within_share,
+    over_share,
 };
 
 enum class task_phase : std::uint8_t
@@ -54,12 +54,12 @@
 struct task
 {
     task_phase phase{task_phase::waiting};
-    /// The number of its last start; 0: none yet.
+    /// The number of its last attempt; 0 if there was none.
     std::uint32_t run{0};
     std::uint32_t failures{0};
-    /// Where the next start goes on from.
+    /// The checkpoint that the next attempt resumes from.
     std::string checkpoint;
-    /// Where the last start was placed.
+    /// The instance of the last attempt.
     std::string instance;
     loss_count lost;
 
@@ -68,26 +68,26 @@
 
 class instance;
 
-/// What the advice service has said of a step. Which instances are allowed
-/// never changes; tickets lapse.
+/// Answers of the advice service for a step. Whether an instance is allowed
+/// never changes, but tickets expire.
 struct advice_state
 {
     struct ticket
     {
-        /// Kept here since a step looks at all its tickets in each round of
-        /// decisions: to find each by its name took a third of the owner's
-        /// time at 350 instances.
+        /// The instance itself rather than its name: each scheduling round
+        /// examines all tickets of a step, and looking up each instance by name
+        /// took a third of the owner's time at 350 instances.
         std::shared_ptr<instance> at;
         std::string text;
         base::instant until{};
     };
 
-    /// Questions without an answer yet: which instances each names.
+    /// The instances named by each unanswered request.
     std::vector<std::vector<std::string>> open;
-    /// The instances that they name.
+    /// The numbers of all instances in `open`.
     std::unordered_set<std::uint32_t> asked;
     base::instant next_ask{};
-    /// By the number of the instance.
+    /// Tickets by the number of the instance.
     std::unordered_map<std::uint32_t, ticket> allowed;
     std::unordered_set<std::uint32_t> refused;
 };
@@ -98,23 +98,24 @@
     std::vector<task> tasks;
     std::uint32_t done{0};
     std::uint32_t waiting{0};
-    /// Of a gang: how often it failed as a whole, and in which run last.
+    /// For a gang: how often it failed as a whole, and in which run it failed
+    /// last.
     std::uint32_t gang_failures{0};
     std::uint32_t gang_failed_run{0};
     advice_state advice;
-    /// Since when it could start.
-    std::optional<base::instant> waits_since;
-    /// How long it waited has been counted.
-    bool wait_noted{false};
-    /// Of a gang that waits: the instances it is planned on, when its slots
-    /// there are expected to be free together, and whether they are kept free
-    /// for it meanwhile.
+    /// Since when the step has been ready to start.
+    std::optional<base::instant> ready_since;
+    /// The waiting time has been recorded.
+    bool wait_recorded{false};
+    /// For a gang that waits: the planned instances, the expected time at which
+    /// its slots there are free together, and whether the instances are
+    /// reserved for it until then.
     std::vector<std::shared_ptr<instance>> reserved;
     std::optional<base::instant> planned_start;
-    bool keeps_room{false};
-    /// Until then its plan stays as it is.
-    base::instant next_look{};
-    /// When the log next says why it waits.
+    bool reserves_instances{false};
+    /// When the gang is planned next.
+    base::instant next_plan{};
+    /// When the log next reports why the gang waits.
     base::instant next_report{};
 
     [[nodiscard]] bool complete() const noexcept
@@ -122,17 +123,17 @@
         return done == tasks.size();
     }
 
-    /// Attempts of it may be running.
+    /// Number of tasks with an attempt that may be running.
     [[nodiscard]] std::uint32_t placed() const noexcept
     {
         return static_cast<std::uint32_t>(tasks.size()) - done - waiting;
     }
 };
 
-/// One run through a job's steps.
+/// One execution of a job's steps; a repeating job has several.
 struct occurrence
 {
-    /// When it was due, on our clock.
+    /// When it was due, on the local clock.
     base::instant due{};
     std::vector<step> steps;
 
@@ -140,17 +141,18 @@
 };
 
 /// An attempt that may still be running when its job has finished. A value.
-struct leftover
+struct remaining_attempt
 {
     attempt_name attempt;
     std::string instance;
     workload::resources need;
     workload::resources of_cap;
 
-    friend bool operator==(leftover const&, leftover const&) = default;
+    friend bool operator==(remaining_attempt const&,
+                           remaining_attempt const&) = default;
 };
 
-/// A job and how far it is. Not thread-safe.
+/// A job and its progress. Not thread-safe.
 class job
 {
 public:
@@ -161,10 +163,10 @@
         return m_spec;
     }
 
-    /// Makes the occurrence, with all tasks waiting.
+    /// Creates the occurrence with all tasks waiting.
     occurrence& open_occurrence(std::uint32_t number, base::instant due);
 
-    /// The step, or null where the job has none such yet.
+    /// Returns the step, or null if the job has no such step yet.
     [[nodiscard]] step* find(workload::step_name const& it);
 
     [[nodiscard]] workload::step_spec const&
@@ -173,20 +175,20 @@
         return m_spec.steps[it.step_index];
     }
 
-    /// All steps it waits for are complete.
+    /// Whether all steps that step `number` depends on are complete.
     [[nodiscard]] bool ready(occurrence const& in, std::uint32_t number) const;
 
-    /// Every occurrence has been opened and is complete.
+    /// Whether every occurrence has been opened and is complete.
     [[nodiscard]] bool complete() const;
 
-    /// How many occurrences the job has in all.
+    /// The total number of occurrences of the job.
     [[nodiscard]] std::uint32_t occurrences_in_all() const noexcept
     {
         return m_spec.repeats.count == 0 ? 1 : m_spec.repeats.count;
     }
 
-    /// Work still to be done from this step on along the longest chain, as it
-    /// is expected.
+    /// The expected work on the longest dependency chain that begins with this
+    /// step.
     [[nodiscard]] base::duration chain_from(std::uint32_t step) const
     {
         return m_chains[step];
@@ -197,35 +199,38 @@
         return m_longest;
     }
 
-    /// Sets how long a task of each step is expected to work, in place of the
-    /// client's estimates. Precondition: one time a step.
+    /// Sets the expected work of a task of each step in place of the client's
+    /// estimates. Precondition: one duration per step.
     void set_work(std::vector<base::duration> const& it);
 
-    /// Forgets what only unfinished jobs need, and notes what may still run.
-    void shed();
+    /// Releases what only unfinished jobs need and records the attempts that
+    /// may still be running.
+    void release_details();
 
-    /// Its client account is owed it; others wait for all that is owed.
-    share_standing standing{share_standing::owed};
+    /// Whether the job is within its client account's share; jobs beyond it
+    /// wait for all others.
+    share_standing standing{share_standing::within_share};
     job_phase phase{job_phase::queued};
-    /// What has been stored, and so what may be told.
+    /// The phase that is stored and may therefore be reported to clients.
     job_phase stored_phase{job_phase::queued};
     bool stored{false};
-    /// Some task has started.
+    /// Whether any task has started.
     bool begun{false};
-    /// When it was accepted: milliseconds since 1970, and on our clock.
+    /// When it was accepted, in milliseconds since 1970 and on the local clock.
     std::int64_t accepted_ms{0};
     base::instant accepted_at{};
-    /// When its phase became final.
+    /// When its phase became final, on the local clock.
     base::instant finished_at{};
     std::map<std::uint32_t, occurrence> occurrences;
-    /// Of a finished job. A successor counts them until they have surely
-    /// ended, though it knows nothing else of the job.
-    std::vector<leftover> leftovers;
-    /// When its phase became final: milliseconds since 1970.
+    /// For a finished job, the attempts that may still be running. A successor
+    /// counts their resources until they have certainly ended, although it
+    /// knows nothing else of the job.
+    std::vector<remaining_attempt> remaining_attempts;
+    /// When its phase became final, in milliseconds since 1970.
     std::int64_t finished_ms{0};
 
 private:
-    void note_leftovers();
+    void collect_remaining_attempts();
 
     workload::job_spec m_spec;
     std::vector<base::duration> m_chains;
--- a/libraries/scheduler/job_book.cpp
+++ b/libraries/scheduler/job_table.cpp
@@ -1,4 +1,4 @@
-#include <scheduler/job_book.hpp>
+#include <scheduler/job_table.hpp>
 
 #include <cassert>
 #include <iterator>
@@ -7,9 +7,9 @@
 namespace berylhill::scheduler
 {
 
-job& job_book::add(workload::job_spec spec,
-                   std::int64_t accepted_ms,
-                   base::instant now)
+job& job_table::add(workload::job_spec spec,
+                    std::int64_t accepted_ms,
+                    base::instant now)
 {
     auto const id = spec.id;
     auto made = std::make_unique<job>(std::move(spec), accepted_ms, now);
@@ -22,25 +22,25 @@
     }
     if (at->second->spec().repeats.count == 0)
     {
-        // A job with times waits for them, not for room.
+        // A repeating job waits for its due times rather than for resources.
         m_pending[at->second->spec().queue].insert(id);
     }
     return *at->second;
 }
 
-job* job_book::find(workload::job_id it)
+job* job_table::find(workload::job_id it)
 {
     auto const at = m_jobs.find(it);
     return at == m_jobs.end() ? nullptr : at->second.get();
 }
 
-job const* job_book::find(workload::job_id it) const
+job const* job_table::find(workload::job_id it) const
 {
     auto const at = m_jobs.find(it);
     return at == m_jobs.end() ? nullptr : at->second.get();
 }
 
-void job_book::drop(workload::job_id it)
+void job_table::drop(workload::job_id it)
 {
     auto const at = m_jobs.find(it);
     if (at == m_jobs.end())
@@ -54,7 +54,7 @@
     m_dropped.insert(it);
 }
 
-bool job_book::withdraw(workload::job_id it)
+bool job_table::withdraw(workload::job_id it)
 {
     auto const at = m_jobs.find(it);
     if (at == m_jobs.end() || !m_new.contains(it))
@@ -72,7 +72,7 @@
     return true;
 }
 
-void job_book::forget_finished(job const& it)
+void job_table::forget_finished(job const& it)
 {
     auto [at, end] = m_finished.equal_range(it.finished_at);
     while (at != end)
@@ -81,7 +81,7 @@
     }
 }
 
-job_book::changes job_book::take_changes()
+job_table::changes job_table::take_changes()
 {
     changes out;
     for (auto const id : m_new)
@@ -117,8 +117,8 @@
     return out;
 }
 
-void job_book::put_back(std::vector<workload::job_id> const& changed,
-                        std::vector<workload::job_id> const& dropped)
+void job_table::put_back(std::vector<workload::job_id> const& changed,
+                         std::vector<workload::job_id> const& dropped)
 {
     for (auto const id : changed)
     {
@@ -136,7 +136,7 @@
     m_dropped.insert(dropped.begin(), dropped.end());
 }
 
-void job_book::refresh_ready(job const& it)
+void job_table::refresh_ready(job const& it)
 {
     auto const id = it.spec().id;
     for (auto const& [number, occurrence] : it.occurrences)
@@ -159,13 +159,13 @@
     }
 }
 
-std::size_t job_book::pending(std::string const& queue) const
+std::size_t job_table::pending(std::string const& queue) const
 {
     auto const at = m_pending.find(queue);
     return at == m_pending.end() ? 0 : at->second.size();
 }
 
-void job_book::set_begun(job& it)
+void job_table::set_begun(job& it)
 {
     if (it.begun)
     {
@@ -175,7 +175,7 @@
     forget_pending(it);
 }
 
-void job_book::finish(job& it, job_phase phase, base::instant now)
+void job_table::finish(job& it, job_phase phase, base::instant now)
 {
     auto const id = it.spec().id;
     forget_pending(it);
@@ -189,12 +189,12 @@
     m_repeating.erase(id);
     it.phase = phase;
     it.finished_at = now;
-    it.shed();
+    it.release_details();
     m_finished.emplace(now, id);
     touch(id);
 }
 
-void job_book::restored(job const& it)
+void job_table::restored(job const& it)
 {
     auto const id = it.spec().id;
     m_new.erase(id);
@@ -212,7 +212,7 @@
     refresh_ready(it);
 }
 
-std::vector<workload::job_id> job_book::finished_before(base::instant it) const
+std::vector<workload::job_id> job_table::finished_before(base::instant it) const
 {
     std::vector<workload::job_id> out;
     for (auto const& [at, id] : m_finished)
@@ -226,9 +226,10 @@
     return out;
 }
 
-/// May be called any number of times: a job that was cancelled while its first
-/// start was on its way leaves twice, when it ends and when it begins.
-void job_book::forget_pending(job const& it)
+/// May be called repeatedly: a job that is cancelled while its first start is
+/// in flight is removed both when it ends and when the instance reports the
+/// start.
+void job_table::forget_pending(job const& it)
 {
     auto const at = m_pending.find(it.spec().queue);
     if (at != m_pending.end())
--- a/libraries/scheduler/job_book.hpp
+++ b/libraries/scheduler/job_table.hpp
@@ -14,22 +14,22 @@
 namespace berylhill::scheduler
 {
 
-/// All jobs of the cell, which of them have changed since they were last
-/// written, and which steps have tasks that could start. Not thread-safe.
-class job_book
+/// All jobs of the cell, the changes that have not been written yet, and the
+/// steps with tasks that are ready to start. Not thread-safe.
+class job_table
 {
 public:
     using job_map = std::unordered_map<workload::job_id, std::unique_ptr<job>>;
 
-    /// Precondition: the id is not known.
+    /// Precondition: the id is unknown.
     job&
     add(workload::job_spec spec, std::int64_t accepted_ms, base::instant now);
 
-    /// Null where it is not known.
+    /// Returns null if the job is unknown.
     [[nodiscard]] job* find(workload::job_id it);
     [[nodiscard]] job const* find(workload::job_id it) const;
 
-    /// Forgets it, and drops its records with the next batch.
+    /// Removes the job, and its records with the next batch.
     void drop(workload::job_id it);
 
     [[nodiscard]] job_map const& all() const noexcept
@@ -37,11 +37,11 @@
         return m_jobs;
     }
 
-    /// Forgets a job of which nothing has been written. Returns whether it
-    /// did: false where a batch has been taken since it was added.
+    /// Removes a job of which nothing has been written. Returns false, without
+    /// effect, if a batch has been taken since it was added.
     bool withdraw(workload::job_id it);
 
-    /// Its state has to be written.
+    /// Marks the job's state as changed.
     void touch(workload::job_id it)
     {
         m_changed.insert(it);
@@ -52,8 +52,8 @@
         return !m_changed.empty() || !m_new.empty() || !m_dropped.empty();
     }
 
-    /// What the jobs changed since the last call have to write, and which
-    /// jobs these are.
+    /// The records to write for the jobs that changed since the last call, and
+    /// the ids of these jobs.
     struct changes
     {
         std::vector<record> records;
@@ -62,44 +62,46 @@
     };
     [[nodiscard]] changes take_changes();
 
-    /// What was taken last has not been written, and has to be.
+    /// Marks the changes taken last as unwritten again.
     void put_back(std::vector<workload::job_id> const& changed,
                   std::vector<workload::job_id> const& dropped);
 
-    /// Steps with waiting tasks whose turn has come.
+    /// Steps with waiting tasks whose dependencies are complete.
     [[nodiscard]] std::set<workload::step_name> const& ready() const noexcept
     {
         return m_ready;
     }
 
-    /// Jobs with times of which not all have come.
+    /// Repeating jobs with occurrences that have not been opened.
     [[nodiscard]] std::set<workload::job_id> const& repeating() const noexcept
     {
         return m_repeating;
     }
 
-    /// All times of the job have come.
+    /// All occurrences of the job have been opened.
     void set_all_opened(workload::job_id it)
     {
         m_repeating.erase(it);
     }
 
-    /// Call after any change to a job's steps.
+    /// Updates the set of ready steps. Must be called after any change to the
+    /// job's steps.
     void refresh_ready(job const& it);
 
-    /// Jobs of a queue whose first task has not started.
+    /// Number of jobs of the queue of which no task has started.
     [[nodiscard]] std::size_t pending(std::string const& queue) const;
 
-    /// The first task of a job has started.
+    /// Records that the first task of the job has started.
     void set_begun(job& it);
 
-    /// It has its final phase; the book forgets the details.
+    /// Sets the job's final phase and releases its details.
     void finish(job& it, job_phase phase, base::instant now);
 
-    /// Precondition: just read from records.
+    /// Indexes a job that was restored. Precondition: it was just read from
+    /// records.
     void restored(job const& it);
 
-    /// Finished jobs, the oldest first.
+    /// Jobs that finished before the given time, the oldest first.
     [[nodiscard]] std::vector<workload::job_id>
     finished_before(base::instant it) const;
 
--- a/libraries/scheduler/orders.hpp
+++ b/libraries/scheduler/orders.hpp
@@ -11,33 +11,33 @@
 namespace berylhill::scheduler
 {
 
-/// One start of a task. A value.
+/// Identifies one attempt, that is, one start of a task. A value.
 struct attempt_name
 {
     workload::task_name task;
-    /// Rises with each start of the task; members of a gang share it.
+    /// Increases with each start of the task; members of a gang share it.
     std::uint32_t run{0};
 
     friend auto operator<=>(attempt_name const&, attempt_name const&) = default;
 };
 
-/// Start a task on an instance. A value.
+/// An order to start a task on an instance. A value.
 struct start_order
 {
     std::string instance;
     attempt_name attempt;
     std::string payload;
-    /// Where to go on from; empty: from the beginning.
+    /// The checkpoint to resume from; empty to start from the beginning.
     std::string checkpoint;
-    /// Leave to start there, from the advice service; may be empty.
+    /// The advice service's permission to start there; may be empty.
     std::string ticket;
-    /// The end of the lease on the instance's own clock, milliseconds.
+    /// The end of the lease on the instance's own clock, in milliseconds.
     std::int64_t until_ms{0};
 
     friend bool operator==(start_order const&, start_order const&) = default;
 };
 
-/// Stop an attempt, whether or not it has begun. A value.
+/// An order to stop an attempt, whether or not it has begun. A value.
 struct stop_order
 {
     std::string instance;
@@ -46,30 +46,35 @@
     friend bool operator==(stop_order const&, stop_order const&) = default;
 };
 
-/// Ask which of these instances may run a step. A value.
+/// A request to the advice service that asks which of the instances may run a
+/// step. A value.
 struct advice_order
 {
     workload::step_name step;
     std::vector<std::string> instances;
-    /// How long the service needs for it.
+    /// How long the service is expected to process the request.
     base::duration expected{0};
-    /// When the step has to start to be in time.
+    /// The latest time at which the answer is useful for a step that is to be
+    /// in time.
     base::instant needed_by{};
-    /// Its job can no longer be in time.
+    /// The step is no longer urgent: its job is late or beyond its account's
+    /// share.
     bool late{false};
 
     friend bool operator==(advice_order const&, advice_order const&) = default;
 };
 
-/// Renew the lease of an instance and ask what runs there. A value.
+/// A request to renew the lease of an instance and report what runs there. A
+/// value.
 struct hold_order
 {
     std::string instance;
-    /// Ends up to this number are stored and may be forgotten.
+    /// Ends up to this number are stored and may be deleted by the instance.
     std::uint64_t seen_end{0};
-    /// 0: no lease is asked for.
+    /// End of the lease in milliseconds on the instance's clock; 0 if no lease
+    /// is granted.
     std::int64_t until_ms{0};
-    /// How long the instance may wait for an end before it answers.
+    /// How long the instance may wait for an attempt to end before it answers.
     base::duration wait{0};
 
     friend bool operator==(hold_order const&, hold_order const&) = default;
@@ -77,24 +82,25 @@
 
 using order = std::variant<start_order, stop_order, advice_order>;
 
-/// How an instance answered a start.
+/// The outcome of a start order.
 enum class start_answer : std::uint8_t
 {
     running,
-    /// A newer owner has been here.
+    /// The instance has received orders of a newer owner.
     fenced,
-    /// This run, or a later one, was stopped or has ended here.
+    /// This run or a later one was already stopped or has ended on the
+    /// instance.
     outdated,
-    /// The lease had passed when the order was read.
+    /// The lease had expired when the order was read.
     lease_passed,
     no_room,
     no_ticket,
-    /// The instance turned the order away unread.
+    /// The instance rejected the order without reading it.
     turned_away,
-    /// Another life of the instance answers at the address.
+    /// Another incarnation of the instance answers at the address.
     other_incarnation,
     invalid,
-    /// Nothing is known: it may be carried out at any time.
+    /// No answer was received: the order may be carried out at any time.
     unanswered,
 };
 
@@ -105,20 +111,22 @@
     failed,
     stopped,
     lease_lapsed,
-    /// Another member of the gang ended.
+    /// Another member of the gang ended. Written as `broken`.
     gang_member_ended,
-    /// The other members of the gang did not come.
+    /// The other members of the gang did not start in time. Written as `alone`.
     gang_incomplete,
-    /// Another life answers at the address of its instance, which had not said
-    /// that it leaves. No instance reports this or the next two.
+    /// Another incarnation answers at the address of the instance, which had
+    /// not announced that it leaves. This value and the next two are set by the
+    /// owner, never reported by an instance.
     instance_crashed,
-    /// The same, of an instance that had said that it leaves.
+    /// As `instance_crashed`, for an instance that had announced that it
+    /// leaves.
     instance_left,
-    /// Its instance gave no answer until its lease had lapsed.
+    /// The instance did not answer until its lease had expired.
     instance_silent,
 };
 
-/// An attempt that runs on an instance. A value.
+/// An attempt that runs on an instance, as reported. A value.
 struct running_row
 {
     attempt_name attempt;
@@ -129,7 +137,7 @@
     friend bool operator==(running_row const&, running_row const&) = default;
 };
 
-/// An attempt that has ended on an instance. A value.
+/// An attempt that has ended on an instance, as reported. A value.
 struct ended_row
 {
     std::uint64_t number{0};
@@ -140,20 +148,20 @@
     friend bool operator==(ended_row const&, ended_row const&) = default;
 };
 
-/// What an instance said of itself. A value.
+/// An instance's report of its attempts. A value.
 struct hold_report
 {
     std::string instance;
-    /// When the question was sent and the answer read, on our clock.
+    /// When the request was sent and the answer was read, on the local clock.
     base::instant sent_at;
     base::instant read_at;
-    /// The instance's own clock, milliseconds.
+    /// The instance's own clock, in milliseconds.
     std::int64_t clock_ms{0};
     std::vector<running_row> running;
     std::vector<ended_row> ended;
 };
 
-/// What the advice service said of one instance. A value.
+/// An instance that the advice service allows, with its ticket. A value.
 struct permission
 {
     std::string instance;
--- a/libraries/scheduler/placement.cpp
+++ b/libraries/scheduler/placement.cpp
@@ -17,7 +17,8 @@
                       : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-/// Room left after the task, as a share of the instance: lower fits better.
+/// Free resources left after the task as a share of the instance; lower values
+/// fit better.
 double left_over(candidate const& it, workload::resources const& need)
 {
     auto const left = it.room - need;
@@ -25,8 +26,9 @@
            share(left.memory_mb, it.capacity.memory_mb);
 }
 
-/// For tasks that go where most is left: those that fill get what others
-/// leave, and suspects harm fewest there.
+/// Score for tasks that go to the instance with most free processor time: tasks
+/// that use only spare processor time find most of it there, and suspects harm
+/// the fewest others.
 double roomiest_score(candidate const& it)
 {
     return -share(it.room.cpu_millis, it.capacity.cpu_millis);
@@ -34,13 +36,13 @@
 
 double score_of(workload::step_spec const& step, candidate const& it, fit by)
 {
-    // More than any difference in fit; the second more than the first, since
-    // elsewhere a task takes several times as long.
+    // Each penalty exceeds any difference in fit. The second exceeds the first,
+    // since a task takes several times as long on another rack.
     constexpr double beside_penalty = 5;
     constexpr double far_penalty = 10;
     auto const far =
         !step.preferred_rack.empty() && it.rack != step.preferred_rack;
-    auto const roomiest = step.uses_spare_cpu || by == fit::apart;
+    auto const roomiest = step.uses_spare_cpu || by == fit::separate_suspects;
     return (roomiest ? roomiest_score(it) : left_over(it, step.need)) +
            (it.suspects_here > 0 ? beside_penalty : 0) +
            (far ? far_penalty : 0);
@@ -76,7 +78,7 @@
     return best;
 }
 
-/// The rack with room for all tasks that is left with least of it.
+/// Of the racks with room for all tasks, the one with the fewest slots.
 std::optional<std::string_view> best_rack(workload::step_spec const& step,
                                           std::vector<candidate> const& from)
 {
--- a/libraries/scheduler/placement.hpp
+++ b/libraries/scheduler/placement.hpp
@@ -11,55 +11,57 @@
 namespace berylhill::scheduler
 {
 
-/// An instance that may take tasks of a step. A value.
+/// An instance that tasks of a step may be placed on. A value.
 struct candidate
 {
-    /// Both belong to the instance, which outlives the candidate.
+    /// Both refer to strings of the instance, which must outlive the candidate.
     std::string_view instance;
     std::string_view rack;
     workload::resources room;
     workload::resources capacity;
-    /// Tasks of the step that are there already.
+    /// Number of tasks of the step on the instance.
     std::uint32_t tasks_here{0};
-    /// Tasks of other jobs there under which instances were lost before.
-    /// Looked up for a step that has such tasks itself.
+    /// Number of tasks of other jobs on the instance that are suspected of
+    /// crashing instances. Set only for a step that has such tasks itself.
     std::uint32_t suspects_here{0};
 
     friend bool operator==(candidate const&, candidate const&) = default;
 };
 
-/// What an instance is chosen by.
+/// Criterion for the choice of an instance.
 enum class fit : std::uint8_t
 {
-    /// The one that is left with least room takes the task, so that room for
-    /// large tasks stays in one piece.
-    tight,
-    /// Instances were lost under a task of the step: apart from such tasks of
-    /// other jobs, or those that were lost together would be so again and one
-    /// be taken for the other; then where it harms fewest.
-    apart,
+    /// The instance with the fewest free resources left after the placement,
+    /// which keeps room for large tasks in one piece.
+    best_fit,
+    /// For a step with a task under which instances were lost. Avoids instances
+    /// with suspects of other jobs, since tasks that lose instances together
+    /// cannot be told apart; then prefers the instance where a crash harms the
+    /// fewest others.
+    separate_suspects,
 };
 
-/// Chooses instances for up to `count` tasks of a step, best fit first. Near
-/// the step's data before elsewhere. Returns an index of `from` for each task
-/// that has a place.
+/// Chooses instances for up to `count` tasks of a step, best fit first,
+/// preferring the step's preferred rack. Returns an index into `from` for each
+/// task that can be placed.
 [[nodiscard]] std::vector<std::size_t>
 choose_for_tasks(workload::step_spec const& step,
                  std::uint32_t count,
                  std::vector<candidate> from,
-                 fit by = fit::tight);
+                 fit by = fit::best_fit);
 
 /// Chooses instances for all tasks of a gang, or none. A gang that is slow
-/// across racks is put on one rack where one has room for it; it goes across
-/// racks only if `may_spread`. Returns an index of `from` for each task, or
-/// nothing.
+/// across racks is placed on one rack if one has room for it, and across racks
+/// only if `may_spread` is set. Returns an index into `from` for each task, or
+/// an empty vector.
 [[nodiscard]] std::vector<std::size_t>
 choose_for_gang(workload::step_spec const& step,
                 std::vector<candidate> const& from,
                 bool may_spread,
-                fit by = fit::tight);
+                fit by = fit::best_fit);
 
-/// How many tasks of the step fit into the room.
+/// How many tasks of the step fit into `room`, given the number of its tasks
+/// that are on the instance already.
 [[nodiscard]] std::uint32_t slots_in(workload::step_spec const& step,
                                      workload::resources const& room,
                                      std::uint32_t tasks_here);
--- a/libraries/scheduler/policy.hpp
+++ b/libraries/scheduler/policy.hpp
@@ -7,65 +7,71 @@
 namespace berylhill::scheduler
 {
 
-/// Times and limits of the decisions. A value; the bounds come from the
-/// settings, the others have their reason here.
+/// Time limits and bounds of the scheduler. A value. Some bounds come from the
+/// settings; the reasons for the others are given here.
 struct policy
 {
-    /// How far ahead a lease reaches. Long enough that work lives through a
-    /// link that is cut for some seconds or a change of owner, short enough
-    /// that the work of a dead instance is started again in time.
+    /// Duration of a lease. Long enough for attempts to survive a network
+    /// interruption of some seconds or a change of owner, short enough for the
+    /// work of a dead instance to be restarted in time.
     base::duration lease{std::chrono::seconds{8}};
-    /// How much slower than ours an instance's clock may run.
+    /// The largest share by which an instance's clock may run slower than the
+    /// local one.
     double slow_clock_share{0.02};
-    /// Added to a lapse, for rounding and for the instance's own timers.
+    /// Added to the expiry of a lease for rounding errors and the instance's
+    /// own timers.
     base::duration lapse_margin{std::chrono::milliseconds{300}};
-    /// A former owner may renew leases until some instance refuses it; after
-    /// a takeover its last renewals are taken to be this late.
+    /// A former owner may renew leases until some instance rejects it. After a
+    /// takeover its last renewals are assumed to be this late.
     base::duration former_owner_margin{std::chrono::seconds{2}};
-    /// How long an instance waits for an end before it answers a hold.
+    /// How long an instance waits for an attempt to end before it answers a
+    /// hold request.
     base::duration hold_wait{std::chrono::milliseconds{1'000}};
-    /// Until an order without an answer is sent again. An instance answers
-    /// in a few milliseconds; doubled with each attempt up to the limit.
+    /// Delay before an unanswered order is sent again, doubled with each
+    /// attempt up to the limit. An instance normally answers within a few
+    /// milliseconds.
     base::duration order_retry{std::chrono::milliseconds{200}};
     base::duration order_retry_limit{std::chrono::milliseconds{1'600}};
-    /// A ticket that ends sooner is not used: the order has to be stored and
-    /// sent first, about 10 ms.
+    /// A ticket that expires within this time is not used: the order has to be
+    /// stored and sent first, which takes about 10 ms.
     base::duration ticket_margin{std::chrono::milliseconds{60}};
-    /// How many instances one question for advice may name.
+    /// Maximum number of instances in one advice request.
     std::size_t advice_instances{100};
-    /// Until a question without an answer is asked again.
+    /// Delay before an unanswered advice request is sent again.
     base::duration advice_retry{std::chrono::milliseconds{100}};
-    /// So many failures in a row, with no success between, take an instance
-    /// out of use; a failure by a task's own fault rarely repeats there.
+    /// An instance is quarantined after this many task failures without a
+    /// success in between. A task that fails through its own fault rarely does
+    /// so repeatedly on one instance.
     std::uint32_t failures_to_quarantine{3};
     base::duration quarantine{std::chrono::seconds{4}};
-    /// So many instances that crashed just after they had started a task make
-    /// sure that the task is the cause, though now and then another was.
+    /// A task is given up after this many instances have crashed just after
+    /// they had started it. By then the task is almost certainly the cause,
+    /// although any single crash may have another.
     std::uint32_t crashes_to_give_up{3};
-    /// So many lost under it for whatever reason do too: most of its orders
-    /// may have got no answer, or its instances may come back elsewhere.
+    /// A task is also given up after this many instances were lost for any
+    /// reason: most of its orders may have got no answer, or its instances may
+    /// reappear at other addresses.
     std::uint32_t losses_to_give_up{5};
-    /// An instance that crashes later than this was not crashed by the start.
+    /// If an instance crashes later than this after a start, the start was not
+    /// the cause.
     base::duration start_work{std::chrono::milliseconds{500}};
-    /// Work that was seen for so long crashes nothing.
+    /// A task that has run for this long is not considered a cause of crashes.
     base::duration harmless_work{std::chrono::seconds{5}};
-    /// An instance that turned an order away unread is left alone so long.
+    /// How long no task is placed on an instance after it rejected a start.
     base::duration turned_away_pause{std::chrono::milliseconds{500}};
-    /// A gang whose latest start is nearer than this takes the place of work
-    /// that can wait and that goes on from where it was stopped: a stop takes
-    /// up to a second.
+    /// A gang whose latest start is nearer than this preempts attempts that
+    /// have time left and resume from a checkpoint; a stop takes up to 1 s.
     base::duration preempt_before{std::chrono::milliseconds{2'500}};
-    /// Until the room of an attempt that is being stopped is free: the stop and
-    /// the way of its end.
+    /// Expected time until the resources of an attempt that is being stopped
+    /// are free, including the report of its end.
     base::duration stop_takes{std::chrono::milliseconds{200}};
-    /// Work that has less time than this left is not stopped for another's
-    /// sake.
+    /// Attempts of jobs with less slack than this are not preempted.
     base::duration preempt_slack{std::chrono::milliseconds{3'000}};
-    /// An attempt that goes on from where it was stopped leaves an instance so
-    /// long before this goes: a stop takes up to a second, and its end has to
-    /// be read.
+    /// How long before an instance leaves an attempt that can resume from a
+    /// checkpoint is stopped there: a stop takes up to 1 s, and its end has to
+    /// be reported.
     base::duration leave_before{std::chrono::milliseconds{1'500}};
-    /// How long the state of a finished job can be asked for.
+    /// How long the status of a finished job is available.
     base::duration status_kept{std::chrono::seconds{120}};
 
     friend bool operator==(policy const&, policy const&) = default;
--- a/libraries/scheduler/record.cpp
+++ b/libraries/scheduler/record.cpp
@@ -14,7 +14,7 @@
 constexpr std::string_view spec_prefix = "j:";
 constexpr std::string_view state_prefix = "s:";
 
-/// Members that hold nothing are left out: most steps use few of them.
+/// A JSON object without empty members: most steps use few of them.
 class sparse_object
 {
 public:
@@ -151,7 +151,7 @@
     {
         out["u"] = spec.account;
     }
-    if (it.standing == share_standing::beyond)
+    if (it.standing == share_standing::over_share)
     {
         out["b"] = 1;
     }
@@ -174,8 +174,8 @@
     out.spec.payload = json_codec::text_or(root, "p");
     out.accepted_ms = json_codec::number_or(root, "a");
     out.standing = json_codec::number_or(root, "b") == 0
-                       ? share_standing::owed
-                       : share_standing::beyond;
+                       ? share_standing::within_share
+                       : share_standing::over_share;
     for (auto const& it : json_codec::array_or_empty(root, "s"))
     {
         out.spec.steps.push_back(parse_step(it));
--- a/libraries/scheduler/record.hpp
+++ b/libraries/scheduler/record.hpp
@@ -11,22 +11,23 @@
 namespace berylhill::scheduler
 {
 
-/// A record of the cell's log: the newest one of a key stands. A value.
+/// A record of the cell's log; the newest record of a key is the valid one. A
+/// value.
 struct record
 {
     std::string key;
-    /// Empty: the key is dropped.
+    /// If empty, the key is deleted.
     std::string value;
 
     friend bool operator==(record const&, record const&) = default;
 };
 
-/// What a record is about.
+/// The kind of a record.
 enum class record_kind : std::uint8_t
 {
     /// A job as it was submitted; never changes.
     spec,
-    /// How far a job is.
+    /// The state of a job.
     state,
     other,
 };
@@ -43,15 +44,15 @@
 [[nodiscard]] std::string state_key(workload::job_id it);
 [[nodiscard]] record_key parse_record_key(std::string_view key);
 
-/// A job as it was submitted, and when it was accepted.
+/// Encodes a job's specification and when it was accepted.
 [[nodiscard]] std::string spec_value(job const& it);
 
-/// What a specification's record holds. A value.
+/// The contents of a specification record. A value.
 struct stored_spec
 {
     workload::job_spec spec;
     std::int64_t accepted_ms{0};
-    share_standing standing{share_standing::owed};
+    share_standing standing{share_standing::within_share};
 };
 
 /// Fails with `invalid`.
@@ -61,22 +62,22 @@
 /// How far a job is.
 [[nodiscard]] std::string state_value(job const& it);
 
-/// Fills a job that was just made from its specification. `now` stands for
-/// the time at which unfinished occurrences were due. Fails with `invalid`
-/// where the value does not fit the job; the job is then as it was or partly
-/// filled, and must not be used.
+/// Restores the state of a job that was just created from its specification.
+/// `now` replaces the time at which unfinished occurrences were due. Fails with
+/// `invalid` if the value does not fit the job; the job may then be partly
+/// filled and must not be used.
 [[nodiscard]] base::result<void>
 read_state_value(std::string_view value, base::instant now, job& into);
 
-/// How a job stands, for those who only answer questions. A value.
+/// The stored status of a job. A value.
 struct stored_status
 {
     job_phase phase{job_phase::queued};
-    /// The client account of a finished job; empty: none.
+    /// The client account of a finished job; empty if it has none.
     std::string account;
-    /// Of a finished job: what may still run, and when it finished in
-    /// milliseconds since 1970.
-    std::vector<leftover> leftovers;
+    /// For a finished job: the attempts that may still be running, and when it
+    /// finished in milliseconds since 1970.
+    std::vector<remaining_attempt> remaining_attempts;
     std::int64_t finished_ms{0};
 
     friend bool operator==(stored_status const&,
--- a/libraries/scheduler/record_rows.hpp
+++ b/libraries/scheduler/record_rows.hpp
@@ -9,8 +9,8 @@
 namespace berylhill::scheduler
 {
 
-// Members of the rows that records consist of. Rows are shortened from the end
-// where members hold nothing, so one that is not there reads as nothing. Pure;
+// Access to the elements of the rows that records consist of. Empty elements at
+// the end of a row are omitted, so a missing element reads as empty. Pure;
 // thread-safe.
 
 [[nodiscard]] inline std::int64_t at_or(boost::json::array const& it,
--- a/libraries/scheduler/run_times.cpp
+++ b/libraries/scheduler/run_times.cpp
@@ -9,12 +9,12 @@
 namespace
 {
 
-/// Estimates are believed as if so much of their spread had been seen to be
-/// true: that of some ten tasks whose estimates differ by half.
+/// Weight of the prior that estimates are correct, as a sum of squares: that of
+/// about 10 tasks whose estimates differ by half.
 constexpr double believed_spread = 2.5;
 
-/// Below it nothing is learnt: the mean of so few ends is off by a third and
-/// more.
+/// With fewer ended tasks nothing is learnt, since their mean is off by a third
+/// and more.
 constexpr double least_ends = 8;
 
 constexpr double us_per_ms = 1'000;
--- a/libraries/scheduler/run_times.hpp
+++ b/libraries/scheduler/run_times.hpp
@@ -8,29 +8,30 @@
 namespace berylhill::scheduler
 {
 
-/// How long tasks take, learnt by queue from what clients estimated and what
-/// tasks then took. Clients' estimates are off by half and more; how much they
-/// still say differs between queues, from nearly all to next to nothing.
+/// Predicts run times by queue from the clients' estimates and the observed run
+/// times. Clients' estimates are off by half and more, and how much information
+/// they carry differs between queues, from nearly all to almost none.
 ///
-/// A line is fitted through the logarithms of both: where the estimates say
-/// little its slope is small, and the queue's mean is expected instead.
+/// Fits a line through the logarithms of estimates and run times. Where
+/// estimates carry little information its slope is small, and the prediction
+/// approaches the queue's mean.
 ///
 /// Pure. Not thread-safe.
 class run_times
 {
 public:
-    /// A task that was estimated at `estimate` has run from its beginning to
-    /// its end in `ran`.
+    /// Records a task that was estimated at `estimate` and ran from beginning
+    /// to end in `ran`.
     void ended(std::string const& queue,
                base::duration estimate,
                base::duration ran);
 
-    /// How long a task with such an estimate is expected to run.
+    /// The expected run time of a task with this estimate.
     [[nodiscard]] base::duration run_time(std::string const& queue,
                                           base::duration estimate) const;
 
-    /// The estimate that a client would have made who knew the queue's others:
-    /// as `run_time`, without what slower instances add.
+    /// The corrected estimate: as `run_time`, but without the time that slower
+    /// instances add.
     [[nodiscard]] base::duration work(std::string const& queue,
                                       base::duration estimate) const;
 
@@ -40,8 +41,8 @@
         double count{0};
         double mean_x{0};
         double mean_y{0};
-        /// Sums of squares and products about the means, with those of an
-        /// estimate that is believed, so that few ends change little.
+        /// Sums of squares and products about the means. The prior is added
+        /// when the slope is computed, so that few observations change little.
         double xx{0};
         double xy{0};
     };
--- a/libraries/scheduler/scheduler.cpp
+++ b/libraries/scheduler/scheduler.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// How long after a takeover a lease of a former owner may still run.
+/// When all leases of former owners have expired after a takeover.
 base::instant former_lease_end(policy const& rules, base::instant now)
 {
     auto const length = static_cast<double>(rules.lease.count()) /
@@ -46,7 +46,7 @@
     return job == nullptr ? std::nullopt : std::optional{job->spec().account};
 }
 
-/// An attempt of a step's task, with what it takes.
+/// Creates an attempt of a task of the step with its resource needs.
 attempt scheduler::attempt_of(job const& of, workload::step_name const& name)
 {
     auto const& spec = of.spec_of(name);
@@ -57,8 +57,8 @@
     return out;
 }
 
-/// Whether every task could run if its account had nothing else running, and
-/// every gang whole.
+/// Whether every single task, and every gang as a whole, fits the account's cap
+/// while the account uses nothing else.
 bool scheduler::within_cap(workload::job_spec const& it) const
 {
     return std::ranges::all_of(it.steps,
@@ -94,8 +94,9 @@
     auto const repeats = it.repeats.count != 0;
     auto const owed = m_shares.take(it.account, now);
     auto& job = m_jobs.add(std::move(it), wall_ms, now);
-    job.standing = owed ? share_standing::owed : share_standing::beyond;
-    expect_work(job);
+    job.standing =
+        owed ? share_standing::within_share : share_standing::over_share;
+    update_expected_work(job);
     if (!repeats)
     {
         job.open_occurrence(0, now);
@@ -104,8 +105,9 @@
     return submission::accepted;
 }
 
-/// Sets the job's times by what tasks of its queue have taken.
-void scheduler::expect_work(job& of) const
+/// Sets the expected work of the job's steps from the observed run times of its
+/// queue.
+void scheduler::update_expected_work(job& of) const
 {
     std::vector<base::duration> times;
     for (auto const& it : of.spec().steps)
@@ -122,7 +124,7 @@
     {
         return false;
     }
-    std::erase_if(m_open.starts,
+    std::erase_if(m_next_batch.starts,
                   [&](start_order const& entry)
                   {
                       if (entry.attempt.task.step.job != it)
@@ -190,8 +192,8 @@
                       {"gpus", it.capacity.gpus},
                       {"gpus_before", before.gpus}});
     }
-    // Two lives may be listed at one address, the one before still for
-    // seconds, in any order; which of them lives only an answer tells.
+    // Two incarnations may be listed at one address in any order, the former
+    // one for some more seconds. Only an answer shows which of them is alive.
     m_instances.list(std::move(it), now);
 }
 
@@ -223,10 +225,10 @@
                                             : end_reason::instance_crashed;
     it->unlist();
     it->set_unreachable();
-    void_attempts(*it, reason, now);
+    end_sent_attempts(*it, reason, now);
     for (auto& [name, planned] : it->attempts())
     {
-        // Given up when its batch is stored, before anything leaves.
+        // Cancelled when its batch is stored, before the order is sent.
         planned.stop_wanted = true;
     }
 }
@@ -241,10 +243,10 @@
     auto changes = m_jobs.take_changes();
     for (auto const id : changes.jobs)
     {
-        m_open.jobs.emplace_back(id, m_jobs.find(id)->phase);
+        m_next_batch.jobs.emplace_back(id, m_jobs.find(id)->phase);
     }
-    m_open.dropped = std::move(changes.dropped);
-    m_in_flight = std::exchange(m_open, {});
+    m_next_batch.dropped = std::move(changes.dropped);
+    m_in_flight = std::exchange(m_next_batch, {});
     m_finished = false;
     if (changes.records.empty())
     {
@@ -266,13 +268,13 @@
         changed.push_back(id);
     }
     m_jobs.put_back(changed, batch->dropped);
-    m_open.starts.insert(m_open.starts.begin(), batch->starts.begin(),
-                         batch->starts.end());
-    m_open.stops.insert(m_open.stops.begin(), batch->stops.begin(),
-                        batch->stops.end());
+    m_next_batch.starts.insert(m_next_batch.starts.begin(),
+                               batch->starts.begin(), batch->starts.end());
+    m_next_batch.stops.insert(m_next_batch.stops.begin(), batch->stops.begin(),
+                              batch->stops.end());
     for (auto const& [id, n] : batch->seen_ends)
     {
-        auto& seen = m_open.seen_ends[id];
+        auto& seen = m_next_batch.seen_ends[id];
         seen = std::max(seen, n);
     }
 }
@@ -311,8 +313,8 @@
 
 bool scheduler::batch_pending() const noexcept
 {
-    return m_jobs.anything_changed() || !m_open.starts.empty() ||
-           !m_open.stops.empty() || !m_open.seen_ends.empty();
+    return m_jobs.anything_changed() || !m_next_batch.starts.empty() ||
+           !m_next_batch.stops.empty() || !m_next_batch.seen_ends.empty();
 }
 
 } // namespace berylhill::scheduler
--- a/libraries/scheduler/scheduler.hpp
+++ b/libraries/scheduler/scheduler.hpp
@@ -4,8 +4,8 @@
 #include <scheduler/advice_budget.hpp>
 #include <scheduler/decision_log.hpp>
 #include <scheduler/gang_plan.hpp>
-#include <scheduler/instance_book.hpp>
-#include <scheduler/job_book.hpp>
+#include <scheduler/instance_table.hpp>
+#include <scheduler/job_table.hpp>
 #include <scheduler/orders.hpp>
 #include <scheduler/outcomes.hpp>
 #include <scheduler/placement.hpp>
@@ -26,13 +26,14 @@
 namespace berylhill::scheduler
 {
 
-/// The owner's decisions: which task starts where, what is stored before it
-/// leaves, what an answer or a silence means. It knows no clock, socket or
-/// log: time comes with each event, orders and records are fetched.
+/// Decides which task starts where, what has to be stored before an order is
+/// sent, and how answers and time-outs are handled. It uses no clock, socket or
+/// log file: the time is passed with each event, and the caller fetches orders
+/// and records.
 ///
-/// A start leaves only after the record that names it is stored, and an end
-/// is acknowledged to its instance only after it is stored; so a successor
-/// that reads the log and fences the instances misses neither.
+/// A start is sent only after its record is stored, and an end is acknowledged
+/// to its instance only after it is stored. A successor that reads the log and
+/// fences the instances therefore misses neither.
 ///
 /// Not thread-safe.
 class scheduler
@@ -40,54 +41,56 @@
 public:
     scheduler(policy rules, decision_log& log, base::instant now);
 
-    /// Fills a new scheduler from the newest records. Unreadable ones are
-    /// logged and left out.
+    /// Restores a new scheduler from the newest records. Unreadable records are
+    /// logged and skipped.
     void restore(std::map<std::string, std::string> const& records,
                  std::int64_t wall_ms,
                  base::instant now);
 
     void set_configuration(workload::cell_configuration const& it);
 
-    /// The client account of a job, empty where it has none; nothing where no
-    /// such job is known.
+    /// The client account of a job, empty if it has none; no value if the job
+    /// is unknown.
     [[nodiscard]] std::optional<std::string>
     account_of(workload::job_id it) const;
 
-    void set_rules(policy it)
+    void set_policy(policy it)
     {
         m_rules = it;
     }
 
-    /// How many machines can ask for advice now, each one question at a time.
+    /// Sets how many machines can send advice requests now, one at a time each.
     void set_advice_machines(std::size_t n)
     {
         m_budget.set_machines(n);
     }
 
-    // What callers ask.
+    // Calls of clients.
 
     /// Precondition: the job is valid and its queue is configured.
     submission
     submit(workload::job_spec it, std::int64_t wall_ms, base::instant now);
-    /// Takes a submission back of which nothing has left this process: it
-    /// never runs. Returns false where it may be stored.
+    /// Withdraws a submission of which nothing has been sent to the store; it
+    /// never runs. Returns false if it may be stored.
     bool withdraw(workload::job_id it);
     cancellation cancel(workload::job_id it, base::instant now);
-    /// The stored phase; nothing where no such job is stored.
+    /// The stored phase; no value if no such job is stored.
     [[nodiscard]] std::optional<job_phase> phase_of(workload::job_id it) const;
     [[nodiscard]] std::size_t pending(std::string const& queue) const;
 
-    // What is known of instances.
+    // Events of instances and of the advice service.
 
     void instance_listed(instance_info it, base::instant now);
     void instance_unlisted(std::string const& id, base::instant now);
-    /// Nothing of it runs any more: another life answers at its address.
+    /// Another incarnation answers at the instance's address, so none of its
+    /// attempts is running.
     void instance_replaced(std::string const& id, base::instant now);
-    /// Some configuration has sent a queue to the service.
+    /// Whether a queue of any configuration so far uses the service.
     [[nodiscard]] bool serves(std::string const& service) const;
     [[nodiscard]] hold_order next_hold(std::string const& id,
                                        base::instant now);
-    /// How long the instance need not be asked, unless a start is sent to it.
+    /// How long the next hold request to the instance may be delayed, unless a
+    /// start is sent to it.
     [[nodiscard]] base::duration hold_interval(std::string const& id) const;
     void hold_answered(hold_report const& it);
     void hold_unanswered(std::string const& id, base::instant now);
@@ -109,37 +112,40 @@
                        std::vector<std::string> const& asked,
                        base::instant now);
 
-    // What the process does next.
+    // Driven by the process.
 
-    /// Time passed: retries, lapses, times of repeating jobs.
+    /// Handles the passage of time: retries, expired leases and due occurrences
+    /// of repeating jobs.
     void tick(std::int64_t wall_ms, base::instant now);
-    /// Places what can start. A round looks at a bounded number of instances;
-    /// where that does not do for all steps, the next one goes on with the
-    /// rest.
+    /// Runs a scheduling round, which places tasks that can start. A round
+    /// examines a bounded number of instances; if that does not suffice for all
+    /// steps, the next one continues with the remaining steps.
     void decide(base::instant now);
-    /// The last round got to the end of the steps.
+    /// Whether the last round reached the last step.
     [[nodiscard]] bool round_complete() const noexcept
     {
-        return !m_left_off;
+        return !m_resume_after;
     }
-    /// The orders decided since the last call.
+    /// Returns the orders decided since the last call.
     [[nodiscard]] std::vector<order> take_orders();
-    /// What has to be stored before the next orders and answers; the batch
-    /// before must have been reported as stored. Nothing where there is
-    /// nothing to store.
+    /// Returns the records that have to be stored before the next orders and
+    /// answers are released; empty if there are none. Precondition: the
+    /// previous batch was reported as stored or as not stored.
     [[nodiscard]] std::vector<record> take_batch(base::instant now);
     /// The batch taken last is stored.
     void batch_stored(base::instant now);
-    /// The batch taken last is surely not stored: what is in it goes into the
-    /// next one.
+    /// The batch taken last is certainly not stored; its contents become part
+    /// of the next one.
     void batch_not_stored();
-    /// Anything waits for the next batch.
+    /// Whether there is anything to store in the next batch.
     [[nodiscard]] bool batch_pending() const noexcept;
-    /// Starts wait for the next batch, or something else that somebody waits
-    /// for; without it a batch may gather for some milliseconds.
+    /// Whether starts, stops or finished jobs wait for the next batch.
+    /// Otherwise it may be delayed by some milliseconds to collect more
+    /// records.
     [[nodiscard]] bool batch_urgent() const noexcept
     {
-        return !m_open.starts.empty() || !m_open.stops.empty() || m_finished;
+        return !m_next_batch.starts.empty() || !m_next_batch.stops.empty() ||
+               m_finished;
     }
 
     [[nodiscard]] scheduler_counts const& counts() const noexcept
@@ -147,52 +153,55 @@
         return m_counts;
     }
 
-    [[nodiscard]] instance_book const& instances() const noexcept
+    [[nodiscard]] instance_table const& instances() const noexcept
     {
         return m_instances;
     }
 
-    [[nodiscard]] job_book const& jobs() const noexcept
+    [[nodiscard]] job_table const& jobs() const noexcept
     {
         return m_jobs;
     }
 
 private:
-    /// What a batch holds back until it is stored.
-    struct gate
+    /// Orders and acknowledgements that are held back until a batch is stored.
+    struct pending_batch
     {
         std::vector<start_order> starts;
         std::vector<stop_order> stops;
         std::map<std::string, std::uint64_t> seen_ends;
-        /// The jobs written, and the phase that each is written with.
+        /// The jobs in the batch, and the phase that each is written with.
         std::vector<std::pair<workload::job_id, job_phase>> jobs;
         std::vector<workload::job_id> dropped;
     };
 
-    /// What comes first, whatever its deadline.
+    /// Priority class of a step; it precedes the deadline in the order of
+    /// steps.
     enum class turn_tier : std::uint8_t
     {
         in_time,
-        /// Late, and worth something.
+        /// Late, but still of value.
         late,
-        /// More than its client account is owed.
-        beyond_share,
+        /// Beyond its client account's share.
+        over_share,
         worthless,
     };
 
-    /// A ready step with what its turn depends on.
+    /// A step that is ready, with its priority. Steps are served in ascending
+    /// order.
     struct turn
     {
         turn_tier tier{turn_tier::in_time};
-        /// The latest start that is in time, less what has to be done before.
-        base::instant turn_at;
+        /// The latest start that is in time, minus the lead for what has to be
+        /// done before.
+        base::instant start_target;
         base::instant latest_start;
         workload::step_name name;
 
         friend auto operator<=>(turn const&, turn const&) = default;
     };
 
-    void expect_work(job& of) const;
+    void update_expected_work(job& of) const;
     [[nodiscard]] static attempt attempt_of(job const& of,
                                             workload::step_name const& name);
     [[nodiscard]] bool within_cap(workload::job_spec const& it) const;
@@ -238,7 +247,7 @@
                    attempt_name const& name,
                    attempt& it,
                    base::instant now);
-    void void_attempts(instance& at, end_reason reason, base::instant now);
+    void end_sent_attempts(instance& at, end_reason reason, base::instant now);
     void report_lost(instance const& at,
                      attempt_name const& name,
                      attempt const& it,
@@ -246,7 +255,7 @@
     void note_health(instance& at, end_reason reason, base::instant now);
     void read_running(instance& at, hold_report const& it);
     void read_ended(instance& at, hold_report const& it);
-    [[nodiscard]] std::uint64_t taken_end(instance const& at) const;
+    [[nodiscard]] std::uint64_t last_processed_end(instance const& at) const;
     void drop_missing(instance& at, hold_report const& it);
     void note_begun(workload::job_id of);
     [[nodiscard]] std::uint32_t attempts_allowed(job const& of) const;
@@ -297,7 +306,7 @@
                       base::instant now);
 
     // scheduler_gang_plan.cpp
-    void keep_room(job& of, turn const& it, base::instant now);
+    void reserve_room(job& of, turn const& it, base::instant now);
     void report_waiting_gang(turn const& it,
                              workload::step_spec const& spec,
                              step& in,
@@ -305,16 +314,17 @@
     void plan(job& of, turn const& it, step& in, base::instant now);
     [[nodiscard]] std::vector<std::shared_ptr<instance>> usable_later(
         job& of, workload::step_name const& name, base::instant now) const;
-    [[nodiscard]] coming_room room_to_come(instance const& at,
-                                           base::instant now) const;
+    [[nodiscard]] room_forecast forecast_room(instance const& at,
+                                              base::instant now) const;
 
     // scheduler_preempt.cpp
     struct offer;
     bool preempt(job& of, turn const& it, base::instant now);
     [[nodiscard]] offer
     offer_of(instance& at, std::int32_t priority, base::instant now);
-    [[nodiscard]] bool
-    can_wait(attempt_name const& name, std::int32_t than, base::instant now);
+    [[nodiscard]] bool is_preemptible(attempt_name const& name,
+                                      std::int32_t than,
+                                      base::instant now);
     [[nodiscard]] workload::queue_spec const* queue_of(job const& it) const;
     [[nodiscard]] bool eligible(instance const& it,
                                 workload::step_spec const& spec,
@@ -335,43 +345,43 @@
                                          workload::step_spec const& spec,
                                          fit by) const;
     [[nodiscard]] static fit fit_for(step const& in);
-    [[nodiscard]] bool open_to(instance const& it,
-                               workload::step_spec const& spec,
-                               base::instant now) const;
+    [[nodiscard]] bool available_for(instance const& it,
+                                     workload::step_spec const& spec,
+                                     base::instant now) const;
 
     // scheduler_advice.cpp
     [[nodiscard]] bool holds(advice_state::ticket const& it,
                              base::instant now) const;
     [[nodiscard]] double& allowed_share(std::string const& queue);
     [[nodiscard]] std::size_t
-    most_named(workload::step_spec const& spec,
-               workload::queue_spec const& queue) const;
+    max_named(workload::step_spec const& spec,
+              workload::queue_spec const& queue) const;
     [[nodiscard]] std::uint32_t slots_allowed(job& of,
                                               workload::step_name const& name,
                                               workload::queue_spec const& queue,
                                               base::instant now) const;
     [[nodiscard]] std::vector<instance const*>
-    task_question(job& of,
-                  workload::step_name const& name,
-                  workload::queue_spec const& queue,
-                  base::instant now);
+    instances_to_ask_for_tasks(job& of,
+                               workload::step_name const& name,
+                               workload::queue_spec const& queue,
+                               base::instant now);
     [[nodiscard]] std::vector<instance const*>
-    gang_question(job& of,
-                  turn const& at,
-                  workload::queue_spec const& queue,
-                  base::instant now);
+    instances_to_ask_for_gang(job& of,
+                              turn const& at,
+                              workload::queue_spec const& queue,
+                              base::instant now);
     [[nodiscard]] std::vector<instance const*>
-    not_asked(job& of,
-              workload::step_name const& name,
-              workload::queue_spec const& queue,
-              base::instant now);
-    [[nodiscard]] std::vector<instance const*> lapsing(step const& in,
-                                                       base::instant now) const;
+    unasked_instances(job& of,
+                      workload::step_name const& name,
+                      workload::queue_spec const& queue,
+                      base::instant now);
     [[nodiscard]] std::vector<instance const*>
-    first_question(job& of,
-                   workload::step_name const& name,
-                   workload::queue_spec const& queue,
-                   base::instant now);
+    expiring_tickets(step const& in, base::instant now) const;
+    [[nodiscard]] std::vector<instance const*>
+    first_instances_to_ask(job& of,
+                           workload::step_name const& name,
+                           workload::queue_spec const& queue,
+                           base::instant now);
     [[nodiscard]] bool may_allow(instance const& it,
                                  workload::step_spec const& spec,
                                  workload::queue_spec const& queue,
@@ -381,57 +391,59 @@
                     turn const& at,
                     workload::queue_spec const& queue,
                     base::instant now);
-    void question_ended(advice_state& known,
-                        std::vector<std::string> const& asked);
-    void send_question(advice_state& known,
-                       turn const& at,
-                       workload::queue_spec const& queue,
-                       std::vector<instance const*> const& named,
-                       base::instant now);
+    void advice_request_ended(advice_state& known,
+                              std::vector<std::string> const& asked);
+    void send_advice_request(advice_state& known,
+                             turn const& at,
+                             workload::queue_spec const& queue,
+                             std::vector<instance const*> const& named,
+                             base::instant now);
     [[nodiscard]] std::uint32_t tasks_on(workload::step_name const& of,
                                          workload::step_spec const& spec,
                                          instance const& at) const;
 
-    /// How many instances that fit are weighed for a question at most. Answers
-    /// a cell of thousands, where the best of so many is as good as the best
-    /// of all, and a question need not cost a walk over the cell.
-    static constexpr std::size_t most_weighed = 600;
+    /// Maximum number of suitable instances that are examined for an advice
+    /// request. In a cell of thousands of instances, the best of this many is
+    /// as good as the best of all and avoids a scan of the whole cell for each
+    /// request.
+    static constexpr std::size_t max_examined = 600;
 
     policy m_rules;
     decision_log* m_log;
-    /// All queues seen in any configuration: the jobs of one that was taken
-    /// out still run under its last rules.
+    /// All queues of any configuration so far: jobs of a removed queue continue
+    /// under its last configuration.
     std::map<std::string, workload::queue_spec> m_queues;
-    /// The time of day, milliseconds since 1970, at the last event that told.
+    /// Milliseconds since 1970 at the last event that passed the time of day.
     std::int64_t m_wall_ms{0};
-    instance_book m_instances;
+    instance_table m_instances;
     account_shares m_shares;
-    job_book m_jobs;
+    job_table m_jobs;
     std::vector<order> m_orders;
-    gate m_open;
-    std::optional<gate> m_in_flight;
+    pending_batch m_next_batch;
+    std::optional<pending_batch> m_in_flight;
     /// A job has finished since the last batch.
     bool m_finished{false};
-    /// How many instances are kept free for gangs that wait, in this round.
+    /// Number of instances reserved for waiting gangs in this round.
     std::size_t m_kept_free{0};
-    /// Counts the rounds of decisions; those that go on with the one before
-    /// not.
+    /// Number of scheduling rounds; a round that continues the previous one is
+    /// not counted.
     std::uint64_t m_round{0};
-    /// After which step a round ended that did not get to the end.
-    std::optional<turn> m_left_off;
-    /// How many instances were looked at in this round.
-    std::size_t m_looks{0};
-    /// A late gang has instances kept free, during one round.
+    /// The last step handled by a round that did not reach the last step.
+    std::optional<turn> m_resume_after;
+    /// Number of instances examined in this round.
+    std::size_t m_examined{0};
+    /// Whether a late gang has reserved instances in this round.
     bool m_late_reserving{false};
-    /// By queue: which share of the instances its policy allows.
+    /// By queue: the share of instances that its advice policy allows.
     std::map<std::string, double> m_allowed_shares;
     base::instant m_next_leave_look{};
     advice_budget m_budget;
     run_times m_run_times;
     start_waits m_waits;
-    /// Client accounts whose room is kept for a gang of theirs, in this round.
-    std::set<std::string, std::less<>> m_accounts_kept;
-    /// By account: when it may next be said that it is at its cap.
+    /// Client accounts whose remaining cap is reserved for one of their gangs
+    /// in this round.
+    std::set<std::string, std::less<>> m_reserved_accounts;
+    /// By account: when the log may next report that it is at its cap.
     std::map<std::string, base::instant> m_cap_reports;
     scheduler_counts m_counts;
 };
--- a/libraries/scheduler/scheduler_advice.cpp
+++ b/libraries/scheduler/scheduler_advice.cpp
@@ -8,28 +8,32 @@
 namespace
 {
 
-/// Until a step for which there was nothing to ask is looked at again. A gang
-/// waits for seconds, and its look costs more.
+/// Delay before a step for which no request was sent is examined again. It is
+/// longer for gangs, which wait for seconds and are more expensive to examine.
 constexpr base::duration look_again = std::chrono::milliseconds{20};
 constexpr base::duration gang_look_again = std::chrono::milliseconds{100};
 
-/// The share of the instances that a policy allows, while nothing is known
-/// of a queue's.
+/// Assumed share of instances that a queue's policy allows while no answer is
+/// known.
 constexpr double unknown_share = 0.5;
 
-/// The weight of the newest answer in a queue's share of allowed instances.
+/// Weight of the newest answer in the moving average of a queue's share of
+/// allowed instances.
 constexpr double newest_weight = 0.1;
 
-/// A question names instances with room for this many times the tasks that
-/// wait: others ask about the same ones, and the first to start gets the room.
+/// A request names instances with room for this many times the waiting tasks:
+/// other steps ask about the same instances, and the first to start uses the
+/// room.
 constexpr double spare_room = 3.0;
 
-/// Even a single task has so many to choose from, or it would not fit well.
+/// Minimum number of instances in a request. With fewer, a single task would
+/// have too little choice to fit well.
 constexpr std::size_t least_named = 12;
 
-/// A question waits at most so many times as long as it takes for others that
-/// are needed sooner: the many short ones of work with time to spare would
-/// otherwise all wait for the few long ones of gangs, until it is late too.
+/// A request waits for requests that are needed sooner for at most this many
+/// times its own processing time. Without this bound, the many short requests
+/// of work with time to spare would all wait for the few long ones of gangs
+/// until that work is late too.
 constexpr int most_patience = 16;
 
 } // namespace
@@ -58,8 +62,8 @@
         return;
     }
     auto& known = in->advice;
-    question_ended(known, asked);
-    in->next_look = {};
+    advice_request_ended(known, asked);
+    in->next_plan = {};
     known.next_ask = {};
     auto const first = known.allowed.empty() && known.refused.empty();
     for (auto const& id : asked)
@@ -102,19 +106,21 @@
     {
         return;
     }
-    question_ended(in->advice, asked);
+    advice_request_ended(in->advice, asked);
     in->advice.next_ask = now + m_rules.advice_retry;
 }
 
-/// What the question named is not asked about any more. An instance that went
-/// meanwhile is not known by its name; with the last question it goes too, or
-/// the step would wait for an answer about it for good.
+/// Removes the request from the open ones. An instance that was removed
+/// meanwhile cannot be looked up by its name; its mark is dropped with the
+/// step's last open request, or the step would wait for an answer about it
+/// forever.
 ///
-/// A job that was refused and came again gets the answers to the questions of
-/// its first time too. They say nothing of those that are open now: counted
-/// with these, the step would seem to have one open for good.
-void scheduler::question_ended(advice_state& known,
-                               std::vector<std::string> const& asked)
+/// A job that was rejected and submitted again also gets the answers to
+/// requests of its first submission. They match no open request and are ignored
+/// here; if they were counted, the step would seem to have an open request
+/// forever.
+void scheduler::advice_request_ended(advice_state& known,
+                                     std::vector<std::string> const& asked)
 {
     auto const open = std::ranges::find(known.open, asked);
     if (open == known.open.end())
@@ -135,10 +141,10 @@
     }
 }
 
-/// How many instances a question may name: naming more costs little until the
-/// time for the names reaches that of the decision.
-std::size_t scheduler::most_named(workload::step_spec const& spec,
-                                  workload::queue_spec const& queue) const
+/// Maximum number of instances in a request: more of them add little cost until
+/// the time per instance adds up to the base time of a decision.
+std::size_t scheduler::max_named(workload::step_spec const& spec,
+                                 workload::queue_spec const& queue) const
 {
     auto const& costs = *queue.advice;
     if (costs.per_instance.count() <= 0)
@@ -151,11 +157,11 @@
         static_cast<std::size_t>(std::max<std::int64_t>(n, spec.tasks)));
 }
 
-/// Asks about instances whose leave is not known or has lapsed, unless those
-/// with leave have room enough. The service answers one question at a time
-/// for each machine, so only questions whose answer can be used are asked:
-/// under a load that fills the cell, questions of steps without room would
-/// hold up those of urgent work for seconds.
+/// Requests advice about instances without a valid ticket, unless those with
+/// one have room enough. The service answers one request at a time for each
+/// machine, so only requests whose answer can be used are sent: when the cell
+/// is full, requests of steps without room would delay those of urgent work for
+/// seconds.
 void scheduler::ask_advice(job& of,
                            turn const& at,
                            workload::queue_spec const& queue,
@@ -168,33 +174,34 @@
     {
         return;
     }
-    m_looks += std::min(m_instances.all().size(), most_weighed);
-    auto const named = spec.gang ? gang_question(of, at, queue, now)
-                                 : task_question(of, name, queue, now);
+    m_examined += std::min(m_instances.all().size(), max_examined);
+    auto const named = spec.gang
+                           ? instances_to_ask_for_gang(of, at, queue, now)
+                           : instances_to_ask_for_tasks(of, name, queue, now);
     if (named.empty())
     {
         known.next_ask = now + (spec.gang ? gang_look_again : look_again);
         return;
     }
     auto const most = m_rules.advice_instances;
-    auto const questions = (named.size() + most - 1) / most;
-    for (std::size_t n = 0; n < questions; ++n)
+    auto const requests = (named.size() + most - 1) / most;
+    for (std::size_t n = 0; n < requests; ++n)
     {
-        // Of equal size, so that the answers come together.
-        auto const first = named.size() * n / questions;
-        auto const last = named.size() * (n + 1) / questions;
-        send_question(known, at, queue,
-                      {named.begin() + static_cast<std::ptrdiff_t>(first),
-                       named.begin() + static_cast<std::ptrdiff_t>(last)},
-                      now);
+        // Requests of equal size, so that the answers arrive together.
+        auto const first = named.size() * n / requests;
+        auto const last = named.size() * (n + 1) / requests;
+        send_advice_request(known, at, queue,
+                            {named.begin() + static_cast<std::ptrdiff_t>(first),
+                             named.begin() + static_cast<std::ptrdiff_t>(last)},
+                            now);
     }
 }
 
-void scheduler::send_question(advice_state& known,
-                              turn const& at,
-                              workload::queue_spec const& queue,
-                              std::vector<instance const*> const& named,
-                              base::instant now)
+void scheduler::send_advice_request(advice_state& known,
+                                    turn const& at,
+                                    workload::queue_spec const& queue,
+                                    std::vector<instance const*> const& named,
+                                    base::instant now)
 {
     advice_order out;
     out.step = at.name;
@@ -207,13 +214,15 @@
     out.expected = queue.advice->decision +
                    queue.advice->per_instance *
                        static_cast<std::int64_t>(out.instances.size());
-    out.needed_by = std::min(at.turn_at, now + most_patience * out.expected);
+    out.needed_by =
+        std::min(at.start_target, now + most_patience * out.expected);
     known.open.push_back(out.instances);
     m_budget.asked(at.name, out.expected);
     m_orders.emplace_back(std::move(out));
 }
 
-/// How many more tasks of the step the instances with leave can take now.
+/// How many more tasks of the step the instances with valid tickets can take
+/// now.
 std::uint32_t scheduler::slots_allowed(job& of,
                                        workload::step_name const& name,
                                        workload::queue_spec const& queue,
@@ -223,7 +232,7 @@
     auto out = std::uint32_t{0};
     for (auto const& [number, ticket] : of.find(name)->advice.allowed)
     {
-        if (holds(ticket, now) && open_to(*ticket.at, spec, now) &&
+        if (holds(ticket, now) && available_for(*ticket.at, spec, now) &&
             eligible(*ticket.at, spec, queue, now))
         {
             out += slots_in(spec, ticket.at->room(), 0);
@@ -232,13 +241,13 @@
     return out;
 }
 
-/// Instances with room that are worth asking about for single tasks, those
-/// with most room first; none where leave for room enough is there.
+/// Instances with room to request advice about for single tasks, in descending
+/// order of room; none if the instances with valid tickets have room enough.
 std::vector<instance const*>
-scheduler::task_question(job& of,
-                         workload::step_name const& name,
-                         workload::queue_spec const& queue,
-                         base::instant now)
+scheduler::instances_to_ask_for_tasks(job& of,
+                                      workload::step_name const& name,
+                                      workload::queue_spec const& queue,
+                                      base::instant now)
 {
     auto const& spec = of.spec_of(name);
     auto const& in = *of.find(name);
@@ -248,10 +257,10 @@
         return {};
     }
     auto const open = m_instances.roomiest(
-        most_weighed,
+        max_examined,
         [&](instance const& it)
         {
-            if (!open_to(it, spec, now) ||
+            if (!available_for(it, spec, now) ||
                 !may_allow(it, spec, queue, known, now) ||
                 slots_in(spec, it.room(), 0) == 0)
             {
@@ -262,7 +271,7 @@
         });
     auto const share = allowed_share(queue.name);
     auto const wanted = spare_room * in.waiting;
-    auto const most = most_named(spec, queue);
+    auto const most = max_named(spec, queue);
     auto expected = 0.0;
     std::vector<instance const*> out;
     for (auto const* const it : open)
@@ -279,7 +288,8 @@
     return out;
 }
 
-/// An instance that could run the step, and that the service has not refused.
+/// Whether the instance could run the step and has not been refused by the
+/// advice service.
 bool scheduler::may_allow(instance const& it,
                           workload::step_spec const& spec,
                           workload::queue_spec const& queue,
--- a/libraries/scheduler/scheduler_decide.cpp
+++ b/libraries/scheduler/scheduler_decide.cpp
@@ -10,16 +10,16 @@
 namespace
 {
 
-/// Tasks as short as this may use instances that are kept free: they are gone
-/// before the gang's room has come together.
+/// Tasks with an estimate up to this may use reserved instances: they end
+/// before the gang's room is complete.
 constexpr auto short_task = std::chrono::milliseconds{1'000};
 
-/// Between two lines that say that an account is at its cap.
+/// Minimum interval between two log lines about one account at its cap.
 constexpr base::duration cap_report_pause = std::chrono::seconds{1};
 
-/// How many instances a round looks at, at most: each takes some 50 ns, and
-/// callers wait for the round to end, whose answers need milliseconds. Answers
-/// hundreds of gangs that wait at once after a burst, each of which may use
+/// Maximum number of instances that a round examines. Each takes about 50 ns,
+/// and clients whose answers need milliseconds wait for the round to end.
+/// Bounds rounds after a burst of hundreds of gangs, each of which may use
 /// hundreds of instances.
 constexpr std::size_t most_looks = 20'000;
 
@@ -33,31 +33,32 @@
 
 void scheduler::decide(base::instant now)
 {
-    if (!m_left_off)
+    if (!m_resume_after)
     {
         ++m_round;
         m_kept_free = 0;
         m_late_reserving = false;
-        m_accounts_kept.clear();
+        m_reserved_accounts.clear();
     }
     auto const all = turns(now);
-    auto it =
-        m_left_off ? std::ranges::upper_bound(all, *m_left_off) : all.begin();
-    m_left_off.reset();
-    m_looks = 0;
+    auto it = m_resume_after ? std::ranges::upper_bound(all, *m_resume_after)
+                             : all.begin();
+    m_resume_after.reset();
+    m_examined = 0;
     for (; it != all.end(); ++it)
     {
         decide_step(*it, now);
-        if (m_looks > most_looks)
+        if (m_examined > most_looks)
         {
-            m_left_off = *it;
+            m_resume_after = *it;
             return;
         }
     }
 }
 
-/// What can still be in time goes first, the most pressing before the others;
-/// then what is worth less because it is late; last what is worth nothing.
+/// Returns the ready steps in the order in which they are served: first those
+/// that can be in time, the most urgent before the others; then those that are
+/// late and worth less; last those that are worthless.
 std::vector<scheduler::turn> scheduler::turns(base::instant now)
 {
     std::vector<turn> out;
@@ -72,8 +73,8 @@
         }
         auto const until = timing_of(*of, name, *queue);
         auto const tier = now > until.last_start ? turn_tier::worthless
-                          : of->standing == share_standing::beyond
-                              ? turn_tier::beyond_share
+                          : of->standing == share_standing::over_share
+                              ? turn_tier::over_share
                           : now > until.latest_start ? turn_tier::late
                                                      : turn_tier::in_time;
         auto& in = *of->find(name);
@@ -96,20 +97,21 @@
                            step& in,
                            base::instant now)
 {
-    if (!in.waits_since)
+    if (!in.ready_since)
     {
-        in.waits_since = now;
+        in.ready_since = now;
         m_waits.ready(of.spec().queue, of.spec_of(name).tasks, now);
     }
 }
 
-/// Each step counts once: when it starts, or can't be in time any more.
+/// Each step is recorded once: when it starts or when it can no longer be in
+/// time.
 void scheduler::note_wait(job const& of, step& in, base::instant now)
 {
-    if (in.waits_since && !std::exchange(in.wait_noted, true) &&
-        of.standing == share_standing::owed)
+    if (in.ready_since && !std::exchange(in.wait_recorded, true) &&
+        of.standing == share_standing::within_share)
     {
-        m_waits.waited(of.spec().queue, now - *in.waits_since, now);
+        m_waits.waited(of.spec().queue, now - *in.ready_since, now);
     }
 }
 
@@ -129,8 +131,8 @@
         return;
     }
     auto const from = candidates(of, it.name, queue, now);
-    m_looks += queue.advice ? of.find(it.name)->advice.allowed.size()
-                            : m_instances.all().size();
+    m_examined += queue.advice ? of.find(it.name)->advice.allowed.size()
+                               : m_instances.all().size();
     if (spec.gang)
     {
         decide_gang(of, it, from, now);
@@ -145,15 +147,16 @@
     }
 }
 
-/// How many of the step's tasks that wait its client account may start now.
-/// A gang needs room for all; while it waits for that, later turns of its
-/// account start nothing, or they would take each part as it comes free. One
-/// that is worth nothing any more holds up no others for room that lies idle.
+/// How many of the step's waiting tasks its client account may start now. A
+/// gang needs room for all of them. While it waits, later steps of its account
+/// start nothing, or they would use each part of the cap that becomes free. A
+/// gang that has become worthless blocks no others while most of the cap is
+/// idle.
 std::uint32_t scheduler::account_room(job& of, turn const& it)
 {
     auto const& account = of.spec().account;
     auto const& spec = of.spec_of(it.name);
-    if (m_accounts_kept.contains(account))
+    if (m_reserved_accounts.contains(account))
     {
         return 0;
     }
@@ -168,7 +171,7 @@
     if (accounts.can_hold(account, spec.need, waiting) &&
         (it.tier != turn_tier::worthless || accounts.half_used(account)))
     {
-        m_accounts_kept.insert(account);
+        m_reserved_accounts.insert(account);
     }
     return 0;
 }
@@ -189,22 +192,23 @@
                                   fit by) const
 {
     auto const here = spec.max_per_instance == 0 ? 0 : tasks_on(name, spec, it);
-    auto const suspects = by == fit::apart ? it.suspects_beside(name.job) : 0;
+    auto const suspects =
+        by == fit::separate_suspects ? it.other_suspects(name.job) : 0;
     return {it.info().id,       it.rack(), it.room(),
             it.info().capacity, here,      suspects};
 }
 
-/// A step with a task under which instances were lost is kept apart whole.
+/// A step with any suspect task is placed apart from other suspects as a whole.
 fit scheduler::fit_for(step const& in)
 {
     return std::ranges::any_of(in.tasks,
                                [](task const& it) { return it.lost.suspect(); })
-               ? fit::apart
-               : fit::tight;
+               ? fit::separate_suspects
+               : fit::best_fit;
 }
 
-/// Where tasks of the step may start now: instances that can be used, with
-/// leave where the queue asks for it, and not kept free for another gang.
+/// Instances where tasks of the step may start now: usable, with a valid ticket
+/// if the queue requires advice, and not reserved for another gang.
 std::vector<candidate> scheduler::candidates(job& of,
                                              workload::step_name const& name,
                                              workload::queue_spec const& queue,
@@ -215,7 +219,7 @@
     std::vector<candidate> out;
     auto const take = [&](instance const& it)
     {
-        if (eligible(it, spec, queue, now) && open_to(it, spec, now))
+        if (eligible(it, spec, queue, now) && available_for(it, spec, now))
         {
             out.push_back(candidate_of(it, name, spec, by));
         }
@@ -238,25 +242,27 @@
     return out;
 }
 
-/// Instances that are kept free for a gang take short tasks only.
-bool scheduler::open_to(instance const& it,
-                        workload::step_spec const& spec,
-                        base::instant now) const
+/// Instances reserved for a gang accept only short tasks and tasks that end
+/// before the gang starts.
+bool scheduler::available_for(instance const& it,
+                              workload::step_spec const& spec,
+                              base::instant now) const
 {
-    if (it.kept_free_in != m_round)
+    if (it.reserved_in_round != m_round)
     {
         return true;
     }
     auto const takes = std::chrono::milliseconds{spec.estimate_ms};
     return !spec.gang &&
-           (takes <= short_task || now + takes <= it.kept_free_until);
+           (takes <= short_task || now + takes <= it.reserved_until);
 }
 
 std::uint32_t scheduler::tasks_on(workload::step_name const& of,
                                   workload::step_spec const& spec,
                                   instance const& at) const
 {
-    // The ledger counts attempts that are being stopped as well.
+    // Includes attempts that are being stopped, as the resource accounting
+    // does.
     auto const& all = at.attempts();
     std::uint32_t n = 0;
     auto it = all.lower_bound(attempt_name{{of, 0}, 0});
@@ -267,7 +273,7 @@
     return n;
 }
 
-/// What an account's work waits for, so that it can be explained.
+/// Logs why the work of an account waits.
 void scheduler::report_at_cap(job const& of, turn const& it, base::instant now)
 {
     auto const& account = of.spec().account;
@@ -329,7 +335,7 @@
     auto const chosen = choose_for_gang(spec, from, may_spread, fit_for(in));
     if (chosen.empty())
     {
-        keep_room(of, it, now);
+        reserve_room(of, it, now);
         return;
     }
     note_wait(of, in, now);
@@ -339,8 +345,8 @@
     for (auto const& task : in.tasks)
     {
         run = std::max(run, task.run);
-        // One from any member holds for all; they have to start from the
-        // same one.
+        // A checkpoint of any member is valid for all; they have to resume from
+        // the same one.
         checkpoint = std::max(checkpoint, task.checkpoint);
     }
     for (std::uint32_t n = 0; n < in.tasks.size(); ++n)
@@ -377,7 +383,7 @@
     auto const named = attempt_name{name, run};
     where.add(named, made);
     m_jobs.touch(of.spec().id);
-    m_open.starts.push_back(
+    m_next_batch.starts.push_back(
         {on, named, of.spec().payload, made.checkpoint, made.ticket, 0});
     m_log->write(base::log_level::info, "task_placed",
                  {{"task", text_of(name)},
--- a/libraries/scheduler/scheduler_ends.cpp
+++ b/libraries/scheduler/scheduler_ends.cpp
@@ -37,8 +37,8 @@
 
 } // namespace
 
-/// One task of a step is enough: its others have the same estimate, and those
-/// of a gang end together.
+/// Records the run time of one task per step: the others have the same
+/// estimate, and members of a gang end together.
 void scheduler::note_run_time(job const& of,
                               attempt_name const& name,
                               attempt const& it,
@@ -130,7 +130,7 @@
     }
     if (finished(of->phase))
     {
-        // Its steps are gone with the last failure.
+        // The job's details were released when it failed.
         return;
     }
     if (spec.gang && !in->complete())
@@ -140,8 +140,8 @@
     after_change(*of, now);
 }
 
-/// What tells a task that crashes its instances from one that was beside it,
-/// and either from an order that was never carried out.
+/// Logs what is needed to tell a task that crashes its instances from one that
+/// merely ran there, and either from an order that was never carried out.
 void scheduler::report_lost(instance const& at,
                             attempt_name const& name,
                             attempt const& it,
@@ -164,7 +164,7 @@
     ++in.done;
 }
 
-/// The members of a gang end together, so one end stands for all.
+/// The members of a gang end together, so one successful end completes all.
 void scheduler::gang_done(step& in)
 {
     for (auto& it : in.tasks)
@@ -205,8 +205,8 @@
     }
 }
 
-/// Also of a task that lasts: without a bound it would take instance after
-/// instance from all others.
+/// Applies to long-running tasks as well: without a limit such a task would
+/// crash one instance after another.
 void scheduler::give_up(job& of,
                         attempt_name const& name,
                         task const& it,
@@ -227,8 +227,8 @@
     ++in.waiting;
 }
 
-/// A gang that lost a member is of no use: the others are stopped at once,
-/// and it starts again when all have ended.
+/// A gang that has lost a member is useless: the other members are stopped at
+/// once, and it starts again when all have ended.
 void scheduler::stop_gang(workload::step_name const& of,
                           step& in,
                           base::instant now)
@@ -295,7 +295,7 @@
     }
 }
 
-/// An attempt whose order never left is dropped when its batch is stored.
+/// An attempt whose order was not sent is dropped when its batch is stored.
 void scheduler::want_stop(instance& at,
                           attempt_name const& name,
                           attempt& it,
@@ -308,14 +308,15 @@
     }
     it.tries = 0;
     it.next_try = now + m_rules.order_retry;
-    m_open.stops.push_back({at.info().id, name});
+    m_next_batch.stops.push_back({at.info().id, name});
 }
 
-/// Nothing that was sent to the instance runs any more, or can still begin.
-/// What has not been sent carries a lease of its own when it is.
-void scheduler::void_attempts(instance& at,
-                              end_reason reason,
-                              base::instant now)
+/// Ends all attempts whose orders were sent to the instance: none of them is
+/// running or can still begin. Planned attempts are kept, since their orders
+/// carry a new lease.
+void scheduler::end_sent_attempts(instance& at,
+                                  end_reason reason,
+                                  base::instant now)
 {
     std::vector<attempt_name> names;
     for (auto const& [name, it] : at.attempts())
--- a/libraries/scheduler/scheduler_gang_plan.cpp
+++ b/libraries/scheduler/scheduler_gang_plan.cpp
@@ -10,75 +10,75 @@
 namespace
 {
 
-/// So much of the cell at most is kept free for gangs that wait. More would
-/// empty it faster than they can use it.
+/// Maximum share of the cell that is reserved for waiting gangs. More would
+/// empty the cell faster than the gangs can use it.
 constexpr double most_reserved = 0.25;
 
 /// A gang is planned on this many times the slots that it needs, since not all
-/// of them come free in time.
+/// of them become free in time.
 constexpr double reserve_factor = 1.5;
 
-/// An instance that a plan is made on costs as much as so many that are looked
-/// at for a start: its attempts are looked at one by one.
+/// Planning on an instance costs as much as examining this many instances for a
+/// start, since each of its attempts is examined.
 constexpr std::size_t looks_to_plan = 8;
 
-/// An attempt that should have ended by now is expected to end in this time.
+/// An attempt that is overdue is expected to end within this time.
 constexpr base::duration overdue_ends_in = std::chrono::milliseconds{100};
 
-/// Between two plans of a gang. With a hundred gangs that wait, one for each
-/// in each round would take all of the owner's time.
+/// Minimum interval between two plans of a gang. With 100 waiting gangs,
+/// planning each in every round would take all of the owner's time.
 constexpr base::duration plan_pause = std::chrono::milliseconds{30};
 
-/// Between two lines that say what a gang waits for.
+/// Minimum interval between two log lines about one waiting gang.
 constexpr base::duration gang_report_pause = std::chrono::seconds{1};
 
 } // namespace
 
-/// Keeps the instances of a gang's plan free for it, or smaller tasks would
-/// take each slot as it comes free.
-void scheduler::keep_room(job& of, turn const& it, base::instant now)
+/// Reserves the instances of a gang's plan, or smaller tasks would take each
+/// slot as it becomes free.
+void scheduler::reserve_room(job& of, turn const& it, base::instant now)
 {
     auto& in = *of.find(it.name);
     auto const most =
         most_reserved * static_cast<double>(m_instances.all().size());
-    // Of the gangs that are late one at a time: parts of room kept for several
-    // of them would be of use to none.
+    // Only one late gang reserves at a time: partial reservations for several
+    // of them would be useful to none.
     auto const later =
         it.tier != turn_tier::in_time && std::exchange(m_late_reserving, true);
-    in.keeps_room = !later && static_cast<double>(m_kept_free) < most;
-    if (now >= in.next_look)
+    in.reserves_instances = !later && static_cast<double>(m_kept_free) < most;
+    if (now >= in.next_plan)
     {
-        in.next_look = now + plan_pause;
-        if (!in.keeps_room || !preempt(of, it, now))
+        in.next_plan = now + plan_pause;
+        if (!in.reserves_instances || !preempt(of, it, now))
         {
             plan(of, it, in, now);
         }
         report_waiting_gang(it, of.spec_of(it.name), in, now);
     }
-    if (!in.keeps_room)
+    if (!in.reserves_instances)
     {
         return;
     }
     for (auto const& at : in.reserved)
     {
-        at->kept_free_in = m_round;
-        at->kept_free_until = in.planned_start.value_or(now);
+        at->reserved_in_round = m_round;
+        at->reserved_until = in.planned_start.value_or(now);
     }
     m_kept_free += in.reserved.size();
 }
 
-/// Plans the gang on the instances whose slots for it are free together first,
-/// and some more, since not all come free in time.
+/// Plans the gang on the instances whose slots are free together first, plus
+/// some more, since not all become free in time.
 void scheduler::plan(job& of, turn const& it, step& in, base::instant now)
 {
     auto const& spec = of.spec_of(it.name);
     auto const usable = usable_later(of, it.name, now);
-    m_looks += looks_to_plan * usable.size();
-    std::vector<coming_room> from;
+    m_examined += looks_to_plan * usable.size();
+    std::vector<room_forecast> from;
     from.reserve(usable.size());
     for (auto const& at : usable)
     {
-        from.push_back(room_to_come(*at, now));
+        from.push_back(forecast_room(*at, now));
         from.back().planned_before =
             std::ranges::find(in.reserved, at) != in.reserved.end();
     }
@@ -87,7 +87,8 @@
     auto plan = plan_gang(spec, slots, from, now);
     if (!plan)
     {
-        // What it knows, and may know for good, holds it just so.
+        // The instances that the gang knows, and may ever know, hold it
+        // exactly.
         plan = plan_gang(spec, spec.tasks, from, now);
     }
     in.reserved.clear();
@@ -103,7 +104,7 @@
     }
 }
 
-/// What a gang waits for, so that one that never starts can be explained.
+/// Logs what a gang waits for, so that one that never starts can be explained.
 void scheduler::report_waiting_gang(turn const& it,
                                     workload::step_spec const& spec,
                                     step& in,
@@ -133,7 +134,7 @@
                   {"late_s", base::seconds_of(now - it.latest_start)}});
 }
 
-/// Instances that a gang may use, with or without a ticket.
+/// Instances that a gang may use, with or without a valid ticket.
 std::vector<std::shared_ptr<instance>> scheduler::usable_later(
     job& of, workload::step_name const& name, base::instant now) const
 {
@@ -143,7 +144,7 @@
     auto const take = [&](std::shared_ptr<instance> const& at)
     {
         if (at != nullptr && eligible(*at, spec, queue, now) &&
-            open_to(*at, spec, now))
+            available_for(*at, spec, now))
         {
             out.push_back(at);
         }
@@ -163,10 +164,11 @@
     return out;
 }
 
-/// What the instance has free, and will have as its attempts end.
-coming_room scheduler::room_to_come(instance const& at, base::instant now) const
+/// The free resources of the instance now and as its attempts end.
+room_forecast scheduler::forecast_room(instance const& at,
+                                       base::instant now) const
 {
-    coming_room out;
+    room_forecast out;
     out.room = at.room();
     for (auto const& [name, it] : at.attempts())
     {
--- a/libraries/scheduler/scheduler_leave.cpp
+++ b/libraries/scheduler/scheduler_leave.cpp
@@ -8,20 +8,20 @@
 namespace
 {
 
-/// Between two looks at what runs on instances that leave.
+/// Interval between two checks of the attempts on leaving instances.
 constexpr base::duration look_pause = std::chrono::milliseconds{100};
 
-/// Progress below this share says little of the time that is left.
+/// Progress below this percentage says little about the remaining time.
 constexpr int least_percent = 5;
 constexpr int whole_percent = 100;
 
-/// Added to the time that an attempt seems to need.
+/// Safety margin added to the remaining time of an attempt.
 constexpr base::duration end_slack = std::chrono::milliseconds{300};
 
 } // namespace
 
-/// How long the attempt goes on, by its progress, or by the client's estimate
-/// while there is none.
+/// The remaining time of the attempt by its progress, or by the estimate while
+/// there is none.
 base::duration scheduler::time_left(attempt const& it,
                                     job const& of,
                                     workload::step_spec const& spec,
@@ -39,9 +39,9 @@
     return std::max(base::duration{0}, whole - ran);
 }
 
-/// Whether an attempt on an instance that leaves is better stopped now. What
-/// is left there when the instance goes ends without a word: its work is
-/// lost, and its successor has to wait until its lease has lapsed, 8 s.
+/// Whether an attempt on a leaving instance should be stopped now. Attempts
+/// that are left there when the instance goes end without a report: their work
+/// is lost, and their successors have to wait until the lease has expired, 8 s.
 bool scheduler::should_leave(attempt const& it,
                              job const& of,
                              workload::step_spec const& spec,
@@ -54,8 +54,8 @@
                (spec.long_running ||
                 time_left(it, of, spec, now) + end_slack > stays);
     }
-    // It begins anew elsewhere, so the sooner the better, but only where it
-    // surely would not end here.
+    // It restarts from the beginning elsewhere, so the sooner the better, but
+    // only if it would certainly not end here.
     return it.percent >= least_percent &&
            time_left(it, of, spec, now) > stays + m_rules.leave_before;
 }
--- a/libraries/scheduler/scheduler_orders.cpp
+++ b/libraries/scheduler/scheduler_orders.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-/// How many instances that hold nothing are looked at: as many as a cell of
-/// some hundred has, each of which is looked at once a second.
+/// Rate at which idle instances are polled: a cell of some hundred instances
+/// polls each of them once a second.
 constexpr double idle_looks_per_s = 600.0;
 
-/// An instance is looked at so often at least: the list of instances drops one
-/// that is gone within some seconds too.
+/// Maximum interval between two hold requests to an instance; the endpoint list
+/// drops a dead instance within some seconds too.
 constexpr base::duration longest_rest = std::chrono::milliseconds{4'000};
 
 } // namespace
@@ -58,7 +58,8 @@
     case start_answer::other_incarnation:
         if (it->state == attempt_state::sent && it->tries == 0)
         {
-            // Its only order met another life: it has never begun.
+            // Its only order reached another incarnation, so it has never
+            // begun.
             attempt_ended(*at, name, end_reason::stopped, {}, now);
         }
         instance_replaced(id, now);
@@ -81,16 +82,18 @@
     case start_answer::lease_passed:
     case start_answer::no_room:
     case start_answer::invalid:
-        // A refusal says that our view of the instance is off; the pause
-        // keeps the task from going back to it until a report has come.
+        // A rejection shows that the known state of the instance is outdated;
+        // the pause keeps the task from being placed there again before the
+        // next report.
         at->pause(now + m_rules.turned_away_pause);
         refused(*at, name, *it, now);
         return;
     }
 }
 
-/// The order was not carried out. An earlier one of the same attempt that got
-/// no answer still may be, so it has to be stopped first.
+/// The order was not carried out. If an earlier order of the same attempt got
+/// no answer, it may still be carried out, so the attempt has to be stopped
+/// first.
 void scheduler::refused(instance& at,
                         attempt_name const& name,
                         attempt& it,
@@ -139,9 +142,9 @@
     out.seen_end = it->seen_end();
     if (!it->fenced() || !it->reachable())
     {
-        // No lease is granted to an instance that gives no answer, or its
-        // leases would never be known to have lapsed, and what it held when
-        // it died would wait for ever.
+        // An unresponsive instance gets no lease, or its leases would never be
+        // known to have expired and the attempts that it had when it died would
+        // wait forever.
         return out;
     }
     out.until_ms = it->attempts().empty() ? 0 : it->grant(now, m_rules);
@@ -149,10 +152,10 @@
     return out;
 }
 
-/// In a cell of thousands most instances hold nothing, and a look at each of
-/// them every second costs the owner more than its work: they are looked at in
-/// turn, so many a second. One that goes silent meanwhile shows it at the next
-/// start there.
+/// In a cell of thousands most instances are idle, and polling each of them
+/// every second costs the owner more than its other work. Idle instances are
+/// therefore polled at a fixed total rate; one that becomes unresponsive in
+/// between is detected by the next start there.
 base::duration scheduler::hold_interval(std::string const& id) const
 {
     auto const& all = m_instances.all();
@@ -176,11 +179,12 @@
         return;
     }
     if (found->stop_wanted || at->info().draining || !at->listed() ||
-        at->overfull())
+        at->over_capacity())
     {
-        // It was given up before anything left, or the instance began to
-        // leave or shrank while the record was being stored, which takes
-        // seconds while the store is away: nothing has to be stopped.
+        // The attempt was cancelled before its order was sent, or the instance
+        // began to leave or lost capacity while the record was being stored,
+        // which takes seconds while the store is unavailable. Nothing has to be
+        // stopped.
         attempt_ended(*at, it.attempt, end_reason::stopped, {}, now);
         return;
     }
@@ -201,7 +205,7 @@
             m_log->write(base::log_level::warning, "leases_lapsed",
                          {{"instance", id},
                           {"attempts", std::uint64_t{at->attempts().size()}}});
-            void_attempts(*at, end_reason::instance_silent, now);
+            end_sent_attempts(*at, end_reason::instance_silent, now);
         }
         retry(*at, now);
     }
@@ -225,8 +229,7 @@
     }
 }
 
-/// Orders may be sent any number of times: the run's number makes the repeats
-/// harmless.
+/// Orders may be sent repeatedly: the run number makes them idempotent.
 void scheduler::send_again(instance& at,
                            attempt_name const& name,
                            attempt& it,
@@ -242,12 +245,13 @@
     }
     if (!at.reachable())
     {
-        // As with holds: an order carries a lease.
+        // As with hold requests, an order would grant a lease.
         return;
     }
-    if (at.info().draining || at.overfull())
+    if (at.info().draining || at.over_capacity())
     {
-        // The order may not have been carried out; it must not be now.
+        // An order that has not been carried out must not be carried out any
+        // more.
         want_stop(at, name, it, now);
         return;
     }
--- a/libraries/scheduler/scheduler_preempt.cpp
+++ b/libraries/scheduler/scheduler_preempt.cpp
@@ -7,11 +7,11 @@
 namespace berylhill::scheduler
 {
 
-/// An attempt that may be stopped for more urgent work: it is less urgent,
-/// goes on from where it was stopped, and its job has time left.
-bool scheduler::can_wait(attempt_name const& name,
-                         std::int32_t than,
-                         base::instant now)
+/// Whether an attempt may be stopped for more urgent work: it has a lower
+/// priority, resumes from a checkpoint, and its job has time left.
+bool scheduler::is_preemptible(attempt_name const& name,
+                               std::int32_t than,
+                               base::instant now)
 {
     auto const* const of = m_jobs.find(name.task.step.job);
     if (of == nullptr || finished(of->phase))
@@ -29,11 +29,11 @@
     return until.latest_start - now > m_rules.preempt_slack;
 }
 
-/// What an instance offers a gang once work that can wait has been stopped.
+/// Room that an instance can provide for a gang after preemption.
 struct scheduler::offer
 {
     instance* at{nullptr};
-    /// Room that is free, or comes free by stops under way.
+    /// Room that is free or becomes free by stops in progress.
     workload::resources room;
     std::vector<std::pair<attempt_name, workload::resources>> victims;
 };
@@ -49,7 +49,7 @@
             out.room += it.need;
         }
         else if (it.state == attempt_state::running &&
-                 can_wait(name, priority, now))
+                 is_preemptible(name, priority, now))
         {
             out.victims.emplace_back(name, it.need);
         }
@@ -59,10 +59,10 @@
     return out;
 }
 
-/// A gang that would be late takes the place of work that can wait, on as few
-/// instances as it needs. Nothing is stopped unless that makes room for the
-/// whole gang. Returns whether the gang has its room now, or will have it when
-/// the stops under way are done.
+/// Preempts attempts for a gang that would be late, on as few instances as it
+/// needs. Nothing is stopped unless that makes room for the whole gang. Returns
+/// whether the gang has its room now or will have it after the stops in
+/// progress.
 bool scheduler::preempt(job& of, turn const& it, base::instant now)
 {
     auto const& spec = of.spec_of(it.name);
--- a/libraries/scheduler/scheduler_reports.cpp
+++ b/libraries/scheduler/scheduler_reports.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-/// A report lists at most so many ends; a full one may lack some.
+/// Maximum number of ends in a report; a report with this many may be
+/// incomplete.
 constexpr std::size_t ends_per_report = 500;
 
 } // namespace
@@ -34,9 +35,9 @@
     drop_missing(*at, it);
 }
 
-/// An attempt that the owner does not want there is stopped, whoever started
-/// it: an order of a cancelled job, or of a former owner, that was carried
-/// out late.
+/// Stops reported attempts that the owner does not expect, whoever started
+/// them: an order of a cancelled job or of a former owner may be carried out
+/// late.
 void scheduler::read_running(instance& at, hold_report const& it)
 {
     for (auto const& row : it.running)
@@ -87,22 +88,22 @@
 {
     for (auto const& row : it.ended)
     {
-        if (row.number <= taken_end(at))
+        if (row.number <= last_processed_end(at))
         {
             continue;
         }
-        m_open.seen_ends[it.instance] = row.number;
+        m_next_batch.seen_ends[it.instance] = row.number;
         note_health(at, row.reason, it.read_at);
         attempt_ended(at, row.attempt, row.reason, row.checkpoint, it.read_at);
     }
 }
 
-/// The last end of the instance that was taken note of, whether that is stored
-/// or not: until it is, the instance goes on naming it.
-std::uint64_t scheduler::taken_end(instance const& at) const
+/// The number of the last end of the instance that was processed, whether it is
+/// stored or not: the instance repeats an end until it is acknowledged.
+std::uint64_t scheduler::last_processed_end(instance const& at) const
 {
     auto out = at.seen_end();
-    auto const note = [&](gate const& in)
+    auto const note = [&](pending_batch const& in)
     {
         if (auto const it = in.seen_ends.find(at.info().id);
             it != in.seen_ends.end())
@@ -110,7 +111,7 @@
             out = std::max(out, it->second);
         }
     };
-    note(m_open);
+    note(m_next_batch);
     if (m_in_flight)
     {
         note(*m_in_flight);
@@ -118,8 +119,8 @@
     return out;
 }
 
-/// What was settled before the report was asked for and is not in it has left
-/// without an end: it never began, or its lease lapsed.
+/// Ends attempts that were settled before the report was requested and are not
+/// in it: they never began, or their lease expired.
 void scheduler::drop_missing(instance& at, hold_report const& it)
 {
     if (it.ended.size() >= ends_per_report)
@@ -164,8 +165,8 @@
                   {"lease_left_s", base::seconds_of(it->lease_end() - now)}});
 }
 
-/// Takes an instance out of use that fails what it starts. A task's own fault
-/// rarely fails several of its neighbours in a row.
+/// Quarantines an instance after several failures in a row. A task that fails
+/// through its own fault rarely fails several times in a row on one instance.
 void scheduler::note_health(instance& at, end_reason reason, base::instant now)
 {
     if (reason == end_reason::done)
--- a/libraries/scheduler/scheduler_restore.cpp
+++ b/libraries/scheduler/scheduler_restore.cpp
@@ -9,13 +9,13 @@
 namespace
 {
 
-/// What may still run of a job that finished longer ago has surely ended: a
-/// lease of a former owner is shorter, and the time of day may have jumped by
-/// some seconds.
+/// After this time the remaining attempts of a finished job have certainly
+/// ended: leases of a former owner are shorter, and the time of day may have
+/// jumped by some seconds.
 constexpr std::int64_t leftovers_end_ms = 20'000;
 
-/// When a job was accepted, on our clock. The time of day may have jumped, so
-/// the result is never in the future.
+/// When a job was accepted, on the local clock. The time of day may have
+/// jumped, so the result is never in the future.
 base::instant
 instant_of(std::int64_t accepted_ms, std::int64_t wall_ms, base::instant now)
 {
@@ -49,7 +49,7 @@
     }
     for (auto const& [id, job] : m_jobs.all())
     {
-        expect_work(*job);
+        update_expected_work(*job);
         if (!finished(job->phase) && job->occurrences.empty() &&
             job->spec().repeats.count == 0)
         {
@@ -100,9 +100,10 @@
     job->finished_at = now;
 }
 
-/// A job of which only the end is known. What a former owner has left running
-/// of it is counted where it runs, and stopped: a start beside it would bring
-/// its instance or its client account above what they may have.
+/// Restores a job of which only the end is known. Attempts that a former owner
+/// left running are counted on their instances and stopped: without them, new
+/// starts could exceed the capacity of an instance or the cap of the client
+/// account.
 job& scheduler::restore_finished(workload::job_id id,
                                  record const& from,
                                  base::instant now)
@@ -123,9 +124,9 @@
     {
         return out;
     }
-    out.leftovers = known.leftovers;
+    out.remaining_attempts = known.remaining_attempts;
     out.finished_ms = known.finished_ms;
-    for (auto const& it : out.leftovers)
+    for (auto const& it : out.remaining_attempts)
     {
         attempt left;
         left.state = attempt_state::inherited;
@@ -142,7 +143,8 @@
     return out;
 }
 
-/// What a former owner decided may run, until the instance says otherwise.
+/// Adds the attempts that a former owner decided. They count as possibly
+/// running until the instance reports.
 void scheduler::inherit_attempts(job const& of, base::instant now)
 {
     auto const id = of.spec().id;
--- a/libraries/scheduler/start_waits.cpp
+++ b/libraries/scheduler/start_waits.cpp
@@ -9,22 +9,23 @@
 namespace
 {
 
-/// After so long a value counts a third of a new one.
+/// Time constant: after this time a value has about a third of its weight.
 constexpr double memory_s = 4;
 
-/// The lead is so many times the wait: more than once, since a turn that comes
-/// sooner does not shorten the wait by as much.
+/// The lead is this multiple of the mean wait. It is more than 1, since serving
+/// a step earlier does not shorten its wait by the same amount.
 constexpr double lead_factor = 3;
 constexpr double longest_lead_s = 30;
 
-/// By which power of its width a step's lead grows, and within which bounds.
+/// Exponent by which a step's lead grows with its width, and the bounds of the
+/// resulting factor.
 constexpr double width_power = 0.4;
 constexpr double least_width_factor = 0.3;
 constexpr double most_width_factor = 3;
 
 } // namespace
 
-void start_waits::fading_mean::add(double value, base::instant now)
+void start_waits::decaying_mean::add(double value, base::instant now)
 {
     auto const kept = std::exp(-base::seconds_of(now - added_at) / memory_s);
     sum = sum * kept + value;
@@ -32,7 +33,7 @@
     added_at = now;
 }
 
-double start_waits::fading_mean::value() const
+double start_waits::decaying_mean::value() const
 {
     return weight > 0 ? sum / weight : 0;
 }
--- a/libraries/scheduler/state_record.cpp
+++ b/libraries/scheduler/state_record.cpp
@@ -16,11 +16,11 @@
 base::failure unreadable(std::string_view what)
 {
     return {base::failure_code::invalid,
-            "unreadable record: " + std::string{what}, 0};
+            "unreadable state record: malformed " + std::string{what}, 0};
 }
 
-/// `[index, phase, run, failures, instance, checkpoint, instances lost, lost
-/// at its start]`, shortened from the end where a member holds nothing.
+/// `[index, phase, run, failures, instance, checkpoint, instances lost, crashes
+/// at start]`, without empty elements at the end.
 json::array task_row(std::uint32_t index, task const& it)
 {
     json::array out{index, static_cast<std::int64_t>(it.phase)};
@@ -138,7 +138,7 @@
 
 /// `[occurrence, step, index, run, instance, cores, memory, accelerators,
 /// cores of the cap]`
-json::array leftover_row(leftover const& it)
+json::array leftover_row(remaining_attempt const& it)
 {
     auto const& task = it.attempt.task;
     return {task.step.occurrence, task.step.step_index, task.index,
@@ -146,7 +146,8 @@
             it.need.memory_mb,    it.need.gpus,         it.of_cap.cpu_millis};
 }
 
-base::result<leftover> leftover_in(workload::job_id id, json::value const& row)
+base::result<remaining_attempt> leftover_in(workload::job_id id,
+                                            json::value const& row)
 {
     auto const* const it = row.if_array();
     constexpr std::size_t members = 9;
@@ -158,7 +159,7 @@
     {
         return static_cast<std::uint32_t>(at_or(*it, n));
     };
-    leftover out;
+    remaining_attempt out;
     out.attempt = {{{id, small_at(0), small_at(1)}, small_at(2)}, small_at(3)};
     out.instance = text_at(*it, 4);
     out.need = {at_or(*it, 5), at_or(*it, 6), at_or(*it, 7)};
@@ -186,15 +187,15 @@
     {
         out["b"] = 1;
     }
-    // The job's own record goes when it has finished.
+    // The specification record is deleted when the job has finished.
     if (finished(it.phase) && !it.spec().account.empty())
     {
         out["u"] = it.spec().account;
     }
-    if (!it.leftovers.empty())
+    if (!it.remaining_attempts.empty())
     {
         json::array rows;
-        for (auto const& each : it.leftovers)
+        for (auto const& each : it.remaining_attempts)
         {
             rows.emplace_back(leftover_row(each));
         }
@@ -237,7 +238,7 @@
     for (auto const& row : json_codec::array_or_empty(root, "w"))
     {
         BOOST_LEAF_AUTO(it, leftover_in(id, row));
-        out.leftovers.push_back(std::move(it));
+        out.remaining_attempts.push_back(std::move(it));
     }
     out.finished_ms = json_codec::number_or(root, "f");
     return out;
--- a/libraries/scheduler/timing.cpp
+++ b/libraries/scheduler/timing.cpp
@@ -6,8 +6,7 @@
 namespace
 {
 
-/// Work is worth less when late, and nothing after this many times its
-/// objective.
+/// A late job loses value and is worthless after this many times its objective.
 constexpr int worthless_after = 3;
 
 } // namespace
--- a/tests/scheduler/gang_plan_test.cpp
+++ b/tests/scheduler/gang_plan_test.cpp
@@ -14,7 +14,7 @@
 
 base::instant const now{std::chrono::seconds{100}};
 
-/// Free cores of an instance, and when as many more come free.
+/// The free cores of an instance, and when more of them become free.
 struct one_instance
 {
     std::int64_t cores{0};
@@ -25,10 +25,10 @@
 struct plan_case
 {
     char const* story;
-    /// Tasks of two cores each.
+    /// Number of tasks of 2 cores each.
     std::uint32_t slots;
     std::vector<one_instance> from;
-    /// From now; negative: there is no plan.
+    /// Offset from now; negative if there is no plan.
     milliseconds start;
     std::vector<std::size_t> instances;
 };
@@ -41,18 +41,14 @@
 constexpr milliseconds never{-1};
 
 plan_case const plans[] = {
-    {"room that is there is used at once", 2, {{4, {}}}, milliseconds{0}, {0}},
-    {"as few instances as hold it",
-     4,
-     {{4, {}}, {8, {}}},
-     milliseconds{0},
-     {1}},
-    {"what ends first is waited for",
+    {"free room is used at once", 2, {{4, {}}}, milliseconds{0}, {0}},
+    {"a minimal set of instances", 4, {{4, {}}, {8, {}}}, milliseconds{0}, {1}},
+    {"the earliest end is chosen",
      2,
      {{0, {{milliseconds{900}, 4}}}, {0, {{milliseconds{400}, 4}}}},
      milliseconds{400},
      {1}},
-    {"slots of several instances come together",
+    {"slots of several instances are combined",
      3,
      {{2, {}}, {0, {{milliseconds{400}, 2}, {milliseconds{700}, 2}}}},
      milliseconds{700},
@@ -62,12 +58,12 @@
      {{1, {{milliseconds{300}, 1}}}},
      milliseconds{300},
      {0}},
-    {"a plan stays while another is little sooner",
+    {"a plan stays if another is slightly sooner",
      2,
      {{0, {{milliseconds{900}, 4}}, true}, {0, {{milliseconds{700}, 4}}}},
      milliseconds{600},
      {0}},
-    {"it goes where it is much sooner",
+    {"a plan changes if another is much sooner",
      2,
      {{0, {{milliseconds{900}, 4}}, true}, {0, {{milliseconds{500}, 4}}}},
      milliseconds{500},
@@ -77,13 +73,13 @@
      {{8, {}}, {4, {{milliseconds{100}, 4}}}},
      never,
      {}},
-    {"nothing is known", 1, {}, never, {}},
+    {"no instance is known", 1, {}, never, {}},
 };
 
-scheduler::coming_room room_of(one_instance const& it)
+scheduler::room_forecast room_of(one_instance const& it)
 {
     constexpr std::int64_t millis = 1'000;
-    scheduler::coming_room out;
+    scheduler::room_forecast out;
     out.room = {it.cores * millis, 1'000, 0};
     out.planned_before = it.planned_before;
     for (auto const& [at, cores] : it.ends)
@@ -98,17 +94,17 @@
 
 BOOST_AUTO_TEST_SUITE(gang_plan)
 
-/// A user's wide gang never starts though the cell is not full: of the slots
-/// that come free one by one each goes to smaller work. Kept for it are those
-/// that will be free together, and soonest.
-BOOST_DATA_TEST_CASE(a_gang_is_planned_where_its_slots_come_together_first,
+/// Guards against the starvation of a wide gang: each slot that became free
+/// went to smaller tasks. The slots that are free together soonest are reserved
+/// for it.
+BOOST_DATA_TEST_CASE(a_gang_is_planned_where_its_slots_are_free_first,
                      boost::unit_test::data::make(plans))
 {
     workload::step_spec step;
     step.tasks = sample.slots;
     step.need = {2'000, 10, 0};
     step.gang = true;
-    std::vector<scheduler::coming_room> from;
+    std::vector<scheduler::room_forecast> from;
     for (auto const& it : sample.from)
     {
         from.push_back(room_of(it));
--- a/tests/scheduler/instance_book_test.cpp
+++ b/tests/scheduler/instance_table_test.cpp
@@ -1,4 +1,4 @@
-#include <scheduler/instance_book.hpp>
+#include <scheduler/instance_table.hpp>
 
 #include <boost/test/unit_test.hpp>
 
@@ -26,17 +26,18 @@
         }
     }
 
-    scheduler::instance_book book{{}};
+    scheduler::instance_table book{{}};
     std::size_t looks{0};
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(instance_book, fixture)
+BOOST_FIXTURE_TEST_SUITE(instance_table, fixture)
 
-/// In a cell of 3,000 instances the owner weighed all of them for each
-/// question, some hundred a second, and was late for all else.
-BOOST_AUTO_TEST_CASE(a_question_weighs_some_and_the_next_one_others)
+/// Guards against examining all instances for each request: in a cell of 3,000
+/// instances with some hundred requests a second that delayed the owner's other
+/// work.
+BOOST_AUTO_TEST_CASE(a_search_is_bounded_and_the_next_one_continues)
 {
     std::set<std::string> seen;
     for (std::size_t n = 0; n < instances / most; ++n)
@@ -59,8 +60,8 @@
     BOOST_TEST(seen.size() == instances);
 }
 
-/// Few may run the step, and all of these are found.
-BOOST_AUTO_TEST_CASE(those_that_fit_are_found_wherever_they_are)
+/// All suitable instances are found even if there are few.
+BOOST_AUTO_TEST_CASE(all_suitable_instances_are_found)
 {
     auto const found = book.roomiest(
         most, [](auto const& it)
--- a/tests/scheduler/record_test.cpp
+++ b/tests/scheduler/record_test.cpp
@@ -44,7 +44,7 @@
 
 BOOST_AUTO_TEST_SUITE(record)
 
-BOOST_AUTO_TEST_CASE(a_specification_comes_back_whole)
+BOOST_AUTO_TEST_CASE(a_specification_survives_a_round_trip)
 {
     auto const spec = full_spec();
     auto const written =
@@ -56,13 +56,13 @@
     BOOST_TEST(read.value().accepted_ms == 77);
 }
 
-/// What an account has handed in beyond what it is owed counts as owed after a
-/// change of owner.
-BOOST_AUTO_TEST_CASE(a_standing_comes_back)
+/// Guards against jobs beyond their account's share counting as within it after
+/// a change of owner.
+BOOST_AUTO_TEST_CASE(the_share_standing_survives_a_round_trip)
 {
     auto const spec = full_spec();
-    for (auto const standing :
-         {scheduler::share_standing::owed, scheduler::share_standing::beyond})
+    for (auto const standing : {scheduler::share_standing::within_share,
+                                scheduler::share_standing::over_share})
     {
         scheduler::job it{spec, 77, base::instant{}};
         it.standing = standing;
@@ -74,12 +74,14 @@
     }
 }
 
-/// Any account may see how a job ended, once its own record is gone.
+/// Guards against any account being able to see the end of a job whose
+/// specification record is deleted.
 BOOST_AUTO_TEST_CASE(the_end_of_a_job_names_its_account)
 {
     scheduler::job it{full_spec(), 77, base::instant{}};
     it.phase = scheduler::job_phase::completed;
-    it.leftovers = {{{{{{0x00ab}, 1, 2}, 3}, 4}, "i", {5, 6, 7}, {8, 6, 7}}};
+    it.remaining_attempts = {
+        {{{{{0x00ab}, 1, 2}, 3}, 4}, "i", {5, 6, 7}, {8, 6, 7}}};
     it.finished_ms = 9;
     auto const read = base::capture(
         [text = scheduler::state_value(it)]
@@ -87,14 +89,14 @@
     BOOST_REQUIRE(read.has_value());
     BOOST_TEST((read.value() ==
                 scheduler::stored_status{scheduler::job_phase::completed,
-                                         "team", it.leftovers, 9}));
+                                         "team", it.remaining_attempts, 9}));
     auto const before = base::capture(
         [] { return scheduler::parse_stored_status({1}, R"({"p":2})"); });
     BOOST_REQUIRE(before.has_value());
     BOOST_TEST(before.value().account.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_state_comes_back_whole)
+BOOST_AUTO_TEST_CASE(a_state_survives_a_round_trip)
 {
     auto const spec = full_spec();
     scheduler::job it{spec, 0, base::instant{}};
--- a/tests/scheduler/world_crashes.cpp
+++ b/tests/scheduler/world_crashes.cpp
@@ -10,13 +10,14 @@
 namespace
 {
 
-/// How long what an instance had still counts after it has shrunk.
+/// How long the former capacity of an instance still applies after it has
+/// shrunk.
 constexpr base::duration shrunk_slack = std::chrono::milliseconds{4'500};
 
-/// Three instances may crash under a task, and two starts more are allowed.
+/// A task is given up after 3 crashes at its start; 2 more starts are allowed.
 constexpr std::uint32_t crashes_under_a_start = 4;
 
-/// A job with such a task may be shown as failed.
+/// A job may fail if one of its tasks had this many crashes.
 constexpr std::uint32_t crashes_to_fail = 2;
 
 } // namespace
@@ -29,7 +30,7 @@
     }
 }
 
-/// With a crash at once, the start gets no answer.
+/// If the instance crashes at once, the start gets no answer.
 void world::crash_soon(fake_instance& at, attempt_name const& by)
 {
     if (!m_crashers.contains(by.task))
@@ -48,7 +49,7 @@
           });
 }
 
-/// It shrinks to a part, or is whole again.
+/// Reduces the capacity of the instance, or restores it.
 void world::resize(fake_instance& it)
 {
     auto const whole = it.capacity == whole_instance;
@@ -70,7 +71,7 @@
     {
         return;
     }
-    // An instance says so with its next beat.
+    // An instance announces its capacity with its next heartbeat.
     constexpr std::int64_t beat_ms = 1'500;
     auto const pause = std::uniform_int_distribution<std::int64_t>{0, beat_ms}(
         m_resize_random);
@@ -91,7 +92,7 @@
         { return m_now < it.first && fits(used, it.second); });
     if (!fits(used, at.capacity) && !fits_before)
     {
-        broken("more than it holds: " + at.id);
+        broken("instance overcommitted: " + at.id);
     }
 }
 
@@ -102,17 +103,17 @@
         at->second > crashes_under_a_start)
     {
         broken(text_of(it) + " starts after " + std::to_string(at->second) +
-               " instances have crashed under it");
+               " instances crashed while they ran it");
     }
 }
 
-/// Only failures of its tasks and crashes under them are a cause.
+/// Only failures of its tasks or crashes while they ran may fail a job.
 void world::check_failed(workload::job_id it,
                          std::vector<std::string>& into) const
 {
     auto const of_job = [it](auto const& each)
     {
-        return each.first.of.job == it;
+        return each.first.step.job == it;
     };
     auto const failed = std::ranges::any_of(m_failures, of_job);
     auto const crashed = std::ranges::any_of(
@@ -120,7 +121,7 @@
         { return of_job(each) && each.second >= crashes_to_fail; });
     if (!failed && !crashed)
     {
-        into.push_back("failed without cause: " + text_of(it));
+        into.push_back("job failed without cause: " + text_of(it));
     }
 }
 
