--- a/tests/scheduler/account_cap_test.cpp
+++ b/tests/scheduler/account_cap_test.cpp
@@ -33,7 +33,7 @@
     return out;
 }
 
-/// Two instances of four cores, and an account that may use three.
+/// Two instances of 4 cores, and an account with a cap of 3 cores.
 struct capped_cell : bench_owner
 {
     explicit capped_cell(std::map<std::string, std::string> const& stored = {})
@@ -52,7 +52,7 @@
 
 BOOST_AUTO_TEST_SUITE(account_cap)
 
-/// An account runs more than it may: a step is wider than its cap.
+/// Guards against exceeding the cap with a step that is wider than the cap.
 BOOST_AUTO_TEST_CASE(a_step_wider_than_the_cap_runs_in_waves)
 {
     capped_cell it;
@@ -68,9 +68,9 @@
     BOOST_TEST(it.starts().size() == 4U);
 }
 
-/// An account runs more than it may: a cancelled job's tasks still run while
-/// its next job starts.
-BOOST_AUTO_TEST_CASE(what_is_being_stopped_still_counts)
+/// Guards against exceeding the cap when a job starts while the tasks of a
+/// cancelled job are still being stopped.
+BOOST_AUTO_TEST_CASE(stopping_attempts_count_against_the_cap)
 {
     capped_cell it;
     it.decisions.submit(job_of("small", 1, 3), 0, it.now);
@@ -88,9 +88,9 @@
     BOOST_TEST(it.starts().size() == 1U);
 }
 
-/// An account runs more than it may after a change of owner: the new one does
-/// not know yet what the former one's orders have begun.
-BOOST_AUTO_TEST_CASE(what_a_former_owner_ordered_counts)
+/// Guards against exceeding the cap after a takeover, when the new owner does
+/// not know yet what the former owner's orders have started.
+BOOST_AUTO_TEST_CASE(starts_of_a_former_owner_count_against_the_cap)
 {
     capped_cell former;
     former.decisions.submit(job_of("small", 1, 3), 0, former.now);
@@ -104,8 +104,8 @@
     BOOST_TEST(it.starts().empty());
 }
 
-/// An account goes on above a cap that was lowered: its cap is that of the
-/// newest configuration, whatever ran before.
+/// Guards against starts under an old, higher cap: the newest configuration
+/// applies whatever ran before.
 BOOST_AUTO_TEST_CASE(nothing_starts_above_a_cap_that_was_lowered)
 {
     capped_cell it;
@@ -120,9 +120,9 @@
     BOOST_TEST(it.starts().size() == 2U);
 }
 
-/// A gang of an account at its cap never starts: each task that ends makes
-/// room that a smaller job of the account takes.
-BOOST_AUTO_TEST_CASE(a_gang_gets_the_room_of_its_account_whole)
+/// Guards against the starvation of a gang of an account at its cap: smaller
+/// jobs of the account used each part of the cap that became free.
+BOOST_AUTO_TEST_CASE(the_cap_is_reserved_for_a_waiting_gang)
 {
     capped_cell it;
     it.decisions.submit(job_of("small", 1, 1), 0, it.now);
@@ -142,9 +142,9 @@
     BOOST_TEST((next[0].attempt.task.step.job == workload::job_id{2}));
 }
 
-/// A caller waits in vain for a job that can never start: it needs more at
-/// once than its account may ever have running.
-BOOST_AUTO_TEST_CASE(what_can_never_fit_the_cap_is_refused)
+/// Guards against accepting a job that can never start because it needs more at
+/// once than its account's cap.
+BOOST_AUTO_TEST_CASE(a_job_that_never_fits_the_cap_is_rejected)
 {
     capped_cell it;
     auto gang = job_of("small", 1, 4);
--- a/tests/scheduler/account_ledger_test.cpp
+++ b/tests/scheduler/account_ledger_test.cpp
@@ -32,14 +32,18 @@
     {"processor time binds", {4'000, 0, 0}, {1'000, 0, 0}, {1'000, 1, 0}, 3},
     {"memory binds", {9'000, 250, 0}, {0, 50, 0}, {1'000, 100, 0}, 2},
     {"accelerators bind", {0, 0, 4}, {0, 0, 3}, {1'000, 100, 1}, 1},
-    {"just so", {3'000, 0, 0}, {1'000, 0, 0}, {2'000, 0, 0}, 1},
-    {"a part of a task does not count", {3'999, 0, 0}, {}, {2'000, 0, 0}, 1},
-    {"a cap that was lowered below what runs",
+    {"exact fit", {3'000, 0, 0}, {1'000, 0, 0}, {2'000, 0, 0}, 1},
+    {"room for part of a task does not count",
+     {3'999, 0, 0},
+     {},
+     {2'000, 0, 0},
+     1},
+    {"a cap below the current usage",
      {1'000, 0, 0},
      {5'000, 0, 0},
      {1'000, 0, 0},
      0},
-    {"what the task does not take does not bind",
+    {"a dimension that the task does not use does not bind",
      {1'000, 100, 0},
      {1'000, 0, 0},
      {0, 10, 0},
@@ -72,8 +76,8 @@
     BOOST_TEST(it.can_hold("a", {1'000, 0, 0}, 2));
 }
 
-/// What was found running before the configuration was read counts.
-BOOST_AUTO_TEST_CASE(what_ran_before_the_cap_was_known_counts)
+/// Attempts found running before the configuration was read count.
+BOOST_AUTO_TEST_CASE(usage_before_the_cap_was_known_counts)
 {
     scheduler::account_ledger it;
     it.add("a", {3'000, 0, 0});
--- a/tests/scheduler/account_shares_test.cpp
+++ b/tests/scheduler/account_shares_test.cpp
@@ -16,7 +16,8 @@
     char const* name;
     double weight;
     double per_second;
-    /// Of what is handed in over ten seconds, at least and at most.
+    /// Bounds of the share of jobs, submitted over 10 s, that is within the
+    /// account's share.
     double least;
     double most;
 };
@@ -27,20 +28,20 @@
 }
 
 rate_case const rates[] = {
-    {"as much as it is owed", 20, 20, 1, 1},
-    {"half of that", 20, 10, 1, 1},
-    {"five times its usual", 20, 50, 0.4, 0.5},
-    {"an account that is owed next to nothing", 0.5, 1, 0.8, 1},
-    {"one without a weight", 0, 100, 1, 1},
+    {"exactly its share", 20, 20, 1, 1},
+    {"half of its share", 20, 10, 1, 1},
+    {"two and a half times its share", 20, 50, 0.4, 0.5},
+    {"an account with a tiny share", 0.5, 1, 0.8, 1},
+    {"an account without a weight", 0, 100, 1, 1},
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(account_shares)
 
-/// An account that hands in several times its usual takes the place of all
-/// others' work: what it is not owed has to be told apart.
-BOOST_DATA_TEST_CASE(what_is_beyond_its_weight_is_not_owed,
+/// Guards against an account that submits several times its usual rate and so
+/// takes the place of all others' work.
+BOOST_DATA_TEST_CASE(jobs_beyond_the_weight_are_over_the_share,
                      boost::unit_test::data::make(rates))
 {
     scheduler::account_shares it;
--- a/tests/scheduler/advice_budget_test.cpp
+++ b/tests/scheduler/advice_budget_test.cpp
@@ -30,21 +30,22 @@
 constexpr milliseconds gang_question{1'200};
 
 budget_case const budgets[] = {
-    {"many machines have time to spare", 100, gang_question, 10, 0, 60},
-    {"few have not, for as many questions", 10, gang_question, 10, 0, 0},
-    {"what has ended is free again", 10, gang_question, 10, 4, 1},
-    {"one machine is for what is needed only", 1, gang_question, 0, 0, 0},
-    {"short questions take nothing", 10, milliseconds{20}, 100, 0, 7},
+    {"many machines have spare capacity", 100, gang_question, 10, 0, 60},
+    {"few machines have none for as many requests", 10, gang_question, 10, 0,
+     0},
+    {"ended requests free their capacity", 10, gang_question, 10, 4, 1},
+    {"one machine serves required requests only", 1, gang_question, 0, 0, 0},
+    {"short requests do not count", 10, milliseconds{20}, 100, 0, 7},
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(advice_budget)
 
-/// On a cell with few machines the jobs of all users wait for seconds though
-/// there is room: gangs ask the service of advice about every instance, and
-/// the questions of others wait behind those.
-BOOST_DATA_TEST_CASE(what_can_be_left_out_takes_only_time_to_spare,
+/// Guards against jobs waiting for seconds in a cell with few machines although
+/// there is room: gangs requested advice about every instance, and the requests
+/// of others waited behind those.
+BOOST_DATA_TEST_CASE(optional_requests_use_spare_capacity_only,
                      boost::unit_test::data::make(budgets))
 {
     scheduler::advice_budget it;
@@ -61,9 +62,9 @@
     BOOST_TEST(it.spare() == sample.spare);
 }
 
-/// An end without its question, of an owner that has just begun, gives nothing
-/// back.
-BOOST_AUTO_TEST_CASE(an_end_without_a_question_changes_nothing)
+/// A new owner may receive the end of a request that it did not count; it must
+/// not add capacity.
+BOOST_AUTO_TEST_CASE(an_end_without_a_request_changes_nothing)
 {
     scheduler::advice_budget it;
     it.set_machines(10);
--- a/tests/scheduler/advice_test.cpp
+++ b/tests/scheduler/advice_test.cpp
@@ -22,7 +22,7 @@
     std::uint32_t tasks;
     bool is_gang;
     std::size_t full;
-    /// 0: nothing is asked.
+    /// 0 if no request is sent.
     std::size_t named;
 };
 
@@ -32,24 +32,24 @@
 }
 
 size_case const sizes[] = {
-    {"one task names a few to choose from", 1, false, 0, 12},
-    {"many tasks name what holds them three times", 40, false, 0, 60},
-    {"never more than take as long as the decision", 50, false, 0, 70},
-    {"a full cell is not asked about", 1, false, 80, 0},
-    {"of a nearly full one those with room", 1, false, 77, 3},
-    {"a small gang names what would hold it twelve times", 6, true, 0, 72},
-    {"a tiny one names some to choose from", 1, true, 0, 24},
-    {"a large gang names what it needs", 40, true, 0, 80},
+    {"one task names the minimum", 1, false, 0, 12},
+    {"many tasks name room for three times as many", 40, false, 0, 60},
+    {"the names take no longer than the decision", 50, false, 0, 70},
+    {"no request about a full cell", 1, false, 80, 0},
+    {"in a nearly full cell instances with room", 1, false, 77, 3},
+    {"a small gang names room for twelve times as many", 6, true, 0, 72},
+    {"a tiny gang names the minimum of gangs", 1, true, 0, 24},
+    {"a large gang names all instances", 40, true, 0, 80},
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(advice)
 
-/// Urgent work waits for seconds though there is room for it. The steps for
-/// which there is none ask the policy service again and again about the whole
-/// cell, and it answers one question at a time.
-BOOST_DATA_TEST_CASE(only_what_can_be_used_is_asked,
+/// Guards against urgent work waiting for seconds although there is room: steps
+/// without room repeatedly requested advice about the whole cell from a service
+/// that answers one request at a time.
+BOOST_DATA_TEST_CASE(requests_name_only_usable_instances,
                      boost::unit_test::data::make(sizes))
 {
     advised_cell it{80};
@@ -68,14 +68,14 @@
     }
     BOOST_REQUIRE(asked.size() == 1U);
     BOOST_TEST(asked[0].instances.size() == sample.named);
-    // While the answer is out nothing else is asked.
+    // No other request is sent before the answer.
     it.advance(milliseconds{50});
     BOOST_TEST(it.questions().empty());
 }
 
-/// A gang waits for room. While it does, its tickets lapse; it asks for new
-/// ones when its room is there, and only where it may go.
-BOOST_AUTO_TEST_CASE(a_gang_asks_anew_when_its_room_is_there)
+/// While a gang waits for room its tickets expire. It requests new ones when
+/// its room is free, and only for instances it may use.
+BOOST_AUTO_TEST_CASE(a_gang_renews_its_tickets_when_its_room_is_free)
 {
     advised_cell it{10};
     it.fill(10);
@@ -109,9 +109,9 @@
     BOOST_TEST(it.starts().size() == 4U);
 }
 
-/// A gang comes late in a cell that is never quite empty: each slot that came
-/// free went to longer work before the others did.
-BOOST_AUTO_TEST_CASE(what_is_kept_free_for_a_gang_stays_so)
+/// Guards against a late gang in a cell that is never quite empty: each slot
+/// that became free went to longer tasks.
+BOOST_AUTO_TEST_CASE(instances_reserved_for_a_gang_stay_reserved)
 {
     advised_cell it{8};
     it.fill(7);
@@ -120,7 +120,7 @@
     BOOST_REQUIRE(asked.size() == 1U);
     it.answer(asked[0], 8);
     BOOST_TEST(it.starts().empty());
-    // The gang's room is there when the others end, in 5 s.
+    // The gang's room is free when the other tasks end, in 5 s.
     auto later = bench_owner::job(2, 1);
     later.queue = "free";
     later.steps[0].estimate_ms = 6'000;
@@ -138,9 +138,9 @@
     BOOST_TEST(it.starts().size() == 1U);
 }
 
-/// Batch work waits for its tickets until it is late too: its questions have
-/// time, and so those of gangs always went before.
-BOOST_AUTO_TEST_CASE(a_question_with_time_to_spare_is_not_put_off_for_good)
+/// Guards against batch work whose requests are always served after those of
+/// gangs, until it is late too.
+BOOST_AUTO_TEST_CASE(a_request_with_time_to_spare_is_not_postponed_forever)
 {
     advised_cell it{20};
     it.decisions.submit(bench_owner::job(1, 4), 0, it.now);
@@ -149,9 +149,9 @@
     BOOST_TEST((asked[0].needed_by - it.now <= 16 * asked[0].expected));
 }
 
-/// The owner gives no answer while it places a burst of gangs: one round of
-/// decisions looks at all instances for each of them.
-BOOST_AUTO_TEST_CASE(a_round_is_bounded_and_goes_on_where_it_left_off)
+/// Guards against an unresponsive owner during a burst of gangs: one round
+/// examined all instances for each of them.
+BOOST_AUTO_TEST_CASE(a_round_is_bounded_and_continues_in_the_next_one)
 {
     constexpr std::uint64_t gangs = 300;
     advised_cell it{250};
@@ -174,11 +174,11 @@
     BOOST_TEST(asked.size() == gangs);
 }
 
-/// A user's job never goes on though there is room. The store was away when it
-/// came, so it was refused, and it came again; the question of its first time
-/// is answered now. Counted with those of its second time, a question seemed
-/// to be open for good, and nothing was asked any more.
-BOOST_AUTO_TEST_CASE(an_answer_of_a_refused_time_does_not_stop_the_questions)
+/// Guards against a job that stalls although there is room. It was rejected
+/// while the store was unavailable and submitted again; the answer to a request
+/// of the first submission was counted with those of the second, so that a
+/// request seemed to be open forever.
+BOOST_AUTO_TEST_CASE(an_answer_to_a_withdrawn_submission_does_not_stop_requests)
 {
     advised_cell it{80};
     it.decisions.submit(bench_owner::job(1, 4), 0, it.now);
--- a/tests/scheduler/advised_cell.hpp
+++ b/tests/scheduler/advised_cell.hpp
@@ -13,8 +13,8 @@
 
 inline constexpr std::chrono::seconds validity{2};
 
-/// A cell of equal instances with four cores each, and a queue whose policy
-/// has to be asked for.
+/// A cell of equal instances with 4 cores each, and a queue that requires
+/// advice.
 struct advised_cell : bench_owner
 {
     explicit advised_cell(std::size_t instances)
@@ -46,7 +46,7 @@
         return "i-" + std::to_string(n);
     }
 
-    /// Takes all room of the instances in the range.
+    /// Fills this many instances completely.
     void fill(std::size_t instances)
     {
         auto job =
@@ -60,7 +60,7 @@
         }
     }
 
-    /// What runs on the named instances ends.
+    /// Ends all attempts on the given instances.
     void end_on(std::set<std::string> const& ids)
     {
         for (auto const& id : ids)
@@ -77,7 +77,7 @@
         }
     }
 
-    /// What runs anywhere ends.
+    /// Ends all attempts.
     void end_all()
     {
         std::set<std::string> all;
@@ -103,7 +103,7 @@
         return out;
     }
 
-    /// Allows the first `n` of those named.
+    /// Answers the request and allows the first `n` instances.
     void answer(scheduler::advice_order const& it, std::size_t n)
     {
         std::vector<scheduler::permission> allowed;
--- a/tests/scheduler/bench_owner.hpp
+++ b/tests/scheduler/bench_owner.hpp
@@ -14,7 +14,8 @@
 namespace berylhill::scheduler_test
 {
 
-/// An owner driven by hand: the test plays the store and the instances.
+/// A scheduler driven step by step: the test acts as the store and the
+/// instances.
 class bench_owner
 {
 public:
@@ -57,7 +58,8 @@
         return out;
     }
 
-    /// `stays_for`: it drains, and goes after that.
+    /// Lists an instance. With `stays_for`, it drains and leaves after that
+    /// time.
     void list(std::string const& id,
               std::string const& address = {},
               std::optional<base::duration> stays_for = std::nullopt)
@@ -73,7 +75,7 @@
         decisions.instance_listed(info, now);
     }
 
-    /// A report that was asked for now.
+    /// Delivers a report that was requested now.
     void report(std::string const& id,
                 std::vector<scheduler::running_row> running = {},
                 std::vector<scheduler::ended_row> ended = {})
@@ -82,14 +84,14 @@
             {id, now, now, clock_ms(), std::move(running), std::move(ended)});
     }
 
-    /// Decides and returns the orders; what waits for the store waits.
+    /// Runs a round and returns the orders that need no stored record.
     [[nodiscard]] std::vector<scheduler::order> decide()
     {
         decisions.decide(now);
         return decisions.take_orders();
     }
 
-    /// Stores the open batch and returns the orders that waited for it.
+    /// Stores the next batch and returns the orders that waited for it.
     [[nodiscard]] std::vector<scheduler::order> store()
     {
         for (auto const& it : decisions.take_batch(now))
@@ -107,7 +109,7 @@
         return decisions.take_orders();
     }
 
-    /// Decides, stores, and returns the starts.
+    /// Runs a round, stores the batch and returns the start orders.
     [[nodiscard]] std::vector<scheduler::start_order> starts()
     {
         std::vector<scheduler::start_order> out;
--- a/tests/scheduler/capacity_test.cpp
+++ b/tests/scheduler/capacity_test.cpp
@@ -16,8 +16,8 @@
 struct capacity_case
 {
     char const* story;
-    /// What an instance of 4 cores, 4,000 MB says when two starts of 1 core
-    /// and 100 MB each are being stored.
+    /// The new capacity of an instance of 4 cores and 4,000 MB while two starts
+    /// of 1 core and 100 MB each are being stored.
     workload::resources then;
     std::size_t started;
 };
@@ -51,9 +51,10 @@
 
 BOOST_AUTO_TEST_SUITE(capacity_changes)
 
-/// An instance that does not guard its room gets a start that was decided
-/// before it shrank, and slows all that runs there.
-BOOST_DATA_TEST_CASE(a_planned_start_needs_the_room_that_is_left,
+/// Guards against overcommitting an instance that does not enforce its
+/// capacity: a start was decided before the instance shrank and slowed all
+/// tasks there.
+BOOST_DATA_TEST_CASE(a_planned_start_needs_room_in_the_new_capacity,
                      boost::unit_test::data::make(cases))
 {
     bench_owner it;
@@ -63,13 +64,13 @@
     BOOST_TEST(it.decide().empty());
     list(it, sample.then);
     BOOST_TEST(count_of<scheduler::start_order>(it.store()) == sample.started);
-    // What did not start does so when there is room again.
+    // Starts that were held back happen when there is room again.
     list(it, {4'000, 4'000, 0});
     BOOST_TEST(it.starts().size() == 2U - sample.started);
 }
 
-/// An order without an answer is sent again to an instance that has shrunk
-/// meanwhile, or carried out there late.
+/// An unanswered order must not be sent again to an instance that has shrunk,
+/// and must be stopped in case it is carried out late.
 BOOST_AUTO_TEST_CASE(an_unanswered_start_is_stopped_where_no_room_is_left)
 {
     bench_owner it;
@@ -89,9 +90,9 @@
     BOOST_TEST(count_of<scheduler::stop_order>(orders) == 1U);
 }
 
-/// What runs counts to its end, also what is being stopped, however small the
-/// instance has become.
-BOOST_AUTO_TEST_CASE(nothing_starts_beside_what_still_runs)
+/// Running attempts count until they have ended, also while they are being
+/// stopped, however small the instance has become.
+BOOST_AUTO_TEST_CASE(running_attempts_count_after_the_capacity_shrinks)
 {
     bench_owner it;
     it.list("a");
@@ -115,9 +116,9 @@
     BOOST_TEST(it.starts().size() == 1U);
 }
 
-/// After a takeover starts are taken back again and again, since attempts that
-/// are found running count as if their instance had shrunk.
-BOOST_AUTO_TEST_CASE(an_attempt_that_is_found_takes_no_start_back)
+/// Guards against revoking starts repeatedly after a takeover: attempts found
+/// running counted as if their instance had shrunk.
+BOOST_AUTO_TEST_CASE(an_attempt_found_running_revokes_no_start)
 {
     bench_owner it;
     it.list("a");
--- a/tests/scheduler/crash_limit_test.cpp
+++ b/tests/scheduler/crash_limit_test.cpp
@@ -15,21 +15,21 @@
 namespace
 {
 
-/// Three instances may crash under a task, and two starts more are allowed.
+/// A task is given up after 3 crashes at its start; 2 more starts are allowed.
 constexpr std::uint32_t most_starts = 5;
 
-/// More than any bound.
+/// More than any limit.
 constexpr std::uint32_t rounds = 12;
 
-/// How the owner learns that the instance is lost.
+/// How the owner detects the loss of the instance.
 enum class loss : std::uint8_t
 {
-    /// Another life answers at its address.
-    another_life,
-    /// Nothing answers until its leases have lapsed.
+    /// Another incarnation answers at its address.
+    other_incarnation,
+    /// Nothing answers until its leases have expired.
     silence,
-    /// The owner is lost with it; its successor finds another life.
-    another_life_and_owner,
+    /// The owner is lost with it; its successor finds another incarnation.
+    other_incarnation_and_owner,
     /// The owner is lost with it; its successor finds nothing there.
     silence_and_owner,
 };
@@ -52,20 +52,20 @@
 }
 
 crash_case const crash_cases[] = {
-    {"another life is found", loss::another_life},
-    {"the start is not answered", loss::another_life, 1, false, false, false,
-     false},
-    {"the leases lapse", loss::silence},
-    {"the leases lapse, the start is not answered", loss::silence, 1, false,
+    {"another incarnation is found", loss::other_incarnation},
+    {"the start is not answered", loss::other_incarnation, 1, false, false,
+     false, false},
+    {"the leases expire", loss::silence},
+    {"the leases expire, the start is not answered", loss::silence, 1, false,
      false, false, false},
-    {"the owner is lost each time", loss::another_life_and_owner},
-    {"the owner is lost each time, the leases lapse", loss::silence_and_owner},
-    {"a gang", loss::another_life, 2, true},
+    {"the owner is lost each time", loss::other_incarnation_and_owner},
+    {"the owner is lost each time, the leases expire", loss::silence_and_owner},
+    {"a gang", loss::other_incarnation, 2, true},
     {"a gang, the owner is lost each time", loss::silence_and_owner, 2, true},
-    {"a task that lasts", loss::another_life, 1, false, true},
-    {"a task that lasts, the owner is lost each time",
-     loss::another_life_and_owner, 1, false, true},
-    {"a task that may run in copies", loss::another_life, 1, false, false,
+    {"a long-running task", loss::other_incarnation, 1, false, true},
+    {"a long-running task, the owner is lost each time",
+     loss::other_incarnation_and_owner, 1, false, true},
+    {"a task that may run in copies", loss::other_incarnation, 1, false, false,
      true},
 };
 
@@ -74,7 +74,7 @@
     char const* story;
     scheduler::ended_attempt end;
     std::uint32_t times;
-    /// What comes after it, and whether the task is given up then.
+    /// The next end, and whether the task is given up then.
     scheduler::ended_attempt then;
     bool given_up;
 };
@@ -105,17 +105,17 @@
                                                       milliseconds{6'000}};
 
 harmless_case const harmless_cases[] = {
-    {"two crashes may be another's", crashed, 2, crashed, true},
-    {"crashes in the midst of its work", crashed_later, 4, crashed_later, true},
+    {"two crashes may have another cause", crashed, 2, crashed, true},
+    {"crashes during its work", crashed_later, 4, crashed_later, true},
     {"crashes long after its start", crashed_long_after, 50, crashed, false},
-    {"orders without an answer", never_answered, 4, never_answered, true},
+    {"unanswered orders", never_answered, 4, never_answered, true},
     {"instances that leave", left, 50, crashed, false},
-    {"instances out of reach", silent, 4, silent, true},
+    {"unresponsive instances", silent, 4, silent, true},
     {"its own failures", failed, 50, crashed, false},
-    {"leases that lapsed on an instance that lives", lapsed, 50, crashed,
-     false},
-    {"work for long clears it", crashed, 2, crashed_long_after, false},
-    {"also where it was stopped", crashed, 2, stopped_long_after, false},
+    {"leases that expired on a live instance", lapsed, 50, crashed, false},
+    {"a long run resets the count", crashed, 2, crashed_long_after, false},
+    {"a long run that was stopped resets it too", crashed, 2,
+     stopped_long_after, false},
 };
 
 workload::job_spec job_of(crash_case const& it)
@@ -129,10 +129,11 @@
 
 bool owner_lost(loss it)
 {
-    return it == loss::another_life_and_owner || it == loss::silence_and_owner;
+    return it == loss::other_incarnation_and_owner ||
+           it == loss::silence_and_owner;
 }
 
-/// The instance is lost 10 ms after the starts were sent.
+/// Loses the instance 10 ms after the starts were sent.
 void lose(std::unique_ptr<bench_owner>& it, std::string const& id, loss how)
 {
     constexpr milliseconds lapse{12'000};
@@ -144,7 +145,8 @@
         auto const records = it->records;
         it = std::make_unique<bench_owner>(records);
     }
-    if (how == loss::another_life || how == loss::another_life_and_owner)
+    if (how == loss::other_incarnation ||
+        how == loss::other_incarnation_and_owner)
     {
         it->list(id);
         it->decisions.instance_replaced(id, it->now);
@@ -157,7 +159,7 @@
     (void)it->store();
 }
 
-/// How often the first task starts while each start's instance crashes.
+/// How often the first task starts if every instance that starts it crashes.
 std::uint32_t starts_until_given_up(std::unique_ptr<bench_owner>& it,
                                     crash_case const& of)
 {
@@ -188,8 +190,8 @@
 
 BOOST_AUTO_TEST_SUITE(crash_limit)
 
-/// A task that crashes every instance that starts it is started again and
-/// again, and takes the others' work there with it.
+/// Guards against restarting a task that crashes every instance that starts it,
+/// with the work of others there, forever.
 BOOST_DATA_TEST_CASE(a_task_that_crashes_its_instances_is_given_up,
                      boost::unit_test::data::make(crash_cases))
 {
@@ -198,8 +200,8 @@
     BOOST_TEST((it->decisions.phase_of({1}) == job_phase::failed));
 }
 
-/// A job that can be done is shown as failed, since instances were lost beside
-/// it, before it or long after its start.
+/// Guards against failing a healthy job because instances were lost while its
+/// task ran beside the cause, before the start or long after it.
 BOOST_DATA_TEST_CASE(a_task_that_crashes_nothing_is_not_given_up,
                      boost::unit_test::data::make(harmless_cases))
 {
@@ -214,9 +216,9 @@
     BOOST_TEST(it.given_up(rules) == sample.given_up);
 }
 
-/// The count of a task is lost with its owner, or a harmless task is given up
-/// by one that reads a count of nothing.
-BOOST_AUTO_TEST_CASE(a_new_owner_goes_on_counting)
+/// Guards against losing the count with the owner, and against giving up a
+/// harmless task after a missing count was read.
+BOOST_AUTO_TEST_CASE(a_new_owner_continues_the_count)
 {
     auto it = std::make_unique<bench_owner>();
     it->decisions.submit(bench_owner::job(1, 2), 0, it->now);
@@ -225,7 +227,7 @@
     auto const starts = it->starts();
     BOOST_REQUIRE(starts.size() == 2U);
     it->confirm(starts[0]);
-    lose(it, "a", loss::another_life);
+    lose(it, "a", loss::other_incarnation);
     bench_owner next{it->records};
     auto const& tasks =
         next.decisions.jobs().all().at({1})->occurrences.at(0).steps[0].tasks;
@@ -233,8 +235,8 @@
     BOOST_TEST((tasks[1].lost == scheduler::loss_count{1, 0}));
 }
 
-/// Two jobs lose an instance together, start together again, and lose the next
-/// one: both are given up for what one of them does.
+/// Guards against giving up two jobs for what one of them does: they lost an
+/// instance together, were started together again and lost the next one.
 BOOST_AUTO_TEST_CASE(jobs_that_lost_an_instance_together_start_apart)
 {
     auto it = std::make_unique<bench_owner>();
@@ -256,8 +258,8 @@
         BOOST_TEST(start.instance == "a");
         it->confirm(start);
     }
-    lose(it, "a", loss::another_life);
-    // Both would go to the empty one by their room.
+    lose(it, "a", loss::other_incarnation);
+    // By room alone both would be placed on the empty instance.
     it->list("empty");
     it->report("empty");
     it->advance(milliseconds{10});
@@ -271,9 +273,9 @@
     BOOST_TEST(again[1].instance == "full");
 }
 
-/// The only order to an instance that had just crashed meets its next life:
-/// that it was lost under the task is not true.
-BOOST_AUTO_TEST_CASE(a_start_that_met_another_life_counts_nothing)
+/// An order that reached another incarnation never started the task, so the
+/// instance was not lost under it.
+BOOST_AUTO_TEST_CASE(a_start_that_reached_another_incarnation_counts_no_loss)
 {
     auto it = std::make_unique<bench_owner>();
     it->decisions.submit(bench_owner::job(1, 1), 0, it->now);
@@ -287,9 +289,9 @@
     BOOST_TEST(!job.occurrences.at(0).steps[0].tasks[0].lost.suspect());
 }
 
-/// A gang is neither started again nor ever shown as ended: one member
-/// crashes its instances, and the others end done. One such end stands for
-/// all, whether the loss is known before it or not.
+/// Guards against a gang that neither restarts nor completes: one member
+/// crashes its instances and the others end with `done`. One such end completes
+/// the gang, whether the loss is known before it or not.
 BOOST_DATA_TEST_CASE(a_gang_whose_other_members_end_done_is_completed,
                      boost::unit_test::data::make({false, true}))
 {
@@ -316,7 +318,7 @@
         }
         if (sample)
         {
-            lose(it, crashing, loss::another_life);
+            lose(it, crashing, loss::other_incarnation);
         }
         it->advance(std::chrono::seconds{1});
         for (auto const& start : starts)
@@ -329,13 +331,13 @@
         }
         if (!sample)
         {
-            lose(it, crashing, loss::another_life);
+            lose(it, crashing, loss::other_incarnation);
         }
         it->list(crashing + "+");
         it->report(crashing + "+");
         (void)it->store();
     }
-    // Together on one instance at first, and apart once it was lost.
+    // The members start on one instance first, and apart after it was lost.
     BOOST_TEST(crashes == 2U);
     it->advance(std::chrono::seconds{120});
     BOOST_TEST(it->starts().empty());
--- a/tests/scheduler/gang_advice_test.cpp
+++ b/tests/scheduler/gang_advice_test.cpp
@@ -21,7 +21,7 @@
 {
     char const* story;
     std::size_t machines;
-    /// Until then what runs there does not end.
+    /// How long the running tasks occupy the cell.
     milliseconds full_for;
     bool asks_more;
 };
@@ -32,16 +32,15 @@
 }
 
 widening_case const widenings[] = {
-    {"a gang that would be late asks about more", 100, milliseconds{60'000},
+    {"a gang that would be late requests more", 100, milliseconds{60'000},
      true},
-    {"not where the machines that ask are busy", 1, milliseconds{60'000},
-     false},
-    {"not one that its plan has start in time", 100, milliseconds{4'000},
+    {"but not if the requesting machines are busy", 1, milliseconds{60'000},
      false},
+    {"but not if its plan starts in time", 100, milliseconds{4'000}, false},
 };
 
-/// A full cell in which a gang knows 20 instances; four of them have come
-/// free, and its question for their tickets is under way.
+/// A full cell in which a gang knows 20 instances, 4 of them have become free,
+/// and its request for their tickets is open.
 struct tickets_asked_for : advised_cell
 {
     tickets_asked_for()
@@ -69,10 +68,9 @@
 
 BOOST_AUTO_TEST_SUITE(gang_advice)
 
-/// A wide gang learns of the instances one question after the other, each of
-/// which takes a second; by the last answer the tickets of the first have
-/// lapsed.
-BOOST_AUTO_TEST_CASE(a_wide_gang_asks_all_its_questions_at_once)
+/// Guards against sequential requests of a wide gang: each takes 1 s, so that
+/// by the last answer the first tickets had expired.
+BOOST_AUTO_TEST_CASE(a_wide_gang_sends_all_its_requests_at_once)
 {
     advised_cell it{250};
     it.decisions.set_advice_machines(100);
@@ -86,15 +84,15 @@
         named.insert(question.instances.begin(), question.instances.end());
     }
     BOOST_TEST(named.size() == 250U);
-    // What came back is used before the rest is there.
+    // The first answer is used before the others arrive.
     it.answer(asked[0], 40);
     BOOST_TEST(it.starts().size() == 40U);
 }
 
-/// A gang comes late though others have room: it knows too few instances. But
-/// where few machines can ask, the questions of gangs that ask on hold up all
-/// other work.
-BOOST_DATA_TEST_CASE(a_late_plan_asks_on_with_what_time_is_to_spare,
+/// Guards against a late gang that knows too few instances while others have
+/// room. Where few machines can send requests, further requests of gangs must
+/// not delay all other work.
+BOOST_DATA_TEST_CASE(a_late_plan_requests_more_with_spare_capacity,
                      boost::unit_test::data::make(widenings))
 {
     advised_cell it{200};
@@ -119,10 +117,10 @@
     BOOST_TEST(!more.empty() == sample.asks_more);
 }
 
-/// Users' reports are not begun though the cell is empty, long after a burst:
-/// of the gangs that are late by then only one has room kept for it, and the
-/// others, whose tickets had lapsed while the cell was full, asked no more.
-BOOST_AUTO_TEST_CASE(late_gangs_ask_for_their_tickets_beside_each_other)
+/// Guards against late gangs that never start in an empty cell: after a burst
+/// only one late gang has instances reserved, and the others, whose tickets had
+/// expired while the cell was full, sent no more requests.
+BOOST_AUTO_TEST_CASE(late_gangs_request_their_tickets_concurrently)
 {
     constexpr std::uint64_t gangs = 3;
     advised_cell it{40};
@@ -136,7 +134,7 @@
     {
         it.answer(question, 20);
     }
-    // Far beyond their objectives, three times over.
+    // More than three times their objectives.
     it.advance(std::chrono::minutes{3});
     it.end_all();
     std::set<workload::job_id> asked;
@@ -151,8 +149,8 @@
     BOOST_TEST(asked.size() == gangs);
 }
 
-/// A user's report never starts in an empty cell: the instances that it may use
-/// hold it just so, and its plan asked for half as many slots again.
+/// Guards against a gang that never starts in an empty cell: the allowed
+/// instances hold it exactly, and its plan required half as many slots again.
 BOOST_AUTO_TEST_CASE(a_gang_that_just_fits_gets_its_tickets)
 {
     advised_cell it{6};
@@ -170,10 +168,10 @@
     BOOST_TEST(it.starts().size() == 4U);
 }
 
-/// A user's report never starts: the service allows none of the instances that
-/// its gang asked about, and the only machine that can ask has no time to spare
-/// for more.
-BOOST_AUTO_TEST_CASE(a_gang_without_any_plan_asks_whatever_the_load)
+/// Guards against a gang that never starts: none of the instances it asked
+/// about is allowed, and the only machine that can send requests has no spare
+/// capacity.
+BOOST_AUTO_TEST_CASE(a_gang_without_a_plan_sends_requests_whatever_the_load)
 {
     advised_cell it{100};
     it.decisions.submit(gang(1, 2), 0, it.now);
@@ -188,15 +186,16 @@
     BOOST_TEST(it.starts().size() == 2U);
 }
 
-/// Users' jobs are not begun for seconds in a cell with room: its gangs ask for
-/// tickets anew with each change of their plans, up to 14 questions of a gang
-/// lie at the service of advice at once, and all others wait behind them.
-BOOST_AUTO_TEST_CASE(a_gang_asks_for_tickets_once_at_a_time)
+/// Guards against requests for tickets with each change of a gang's plan: up to
+/// 14 requests of one gang were queued at the advice service at once, and all
+/// others waited behind them for seconds.
+BOOST_AUTO_TEST_CASE(a_gang_has_one_open_request_for_tickets)
 {
     tickets_asked_for it;
     auto const& known = it.known;
     auto const& tickets = it.tickets;
-    // Its plan changes: that room is taken, and other room is there.
+    // The plan changes: that room is used by others, and other room becomes
+    // free.
     auto passing = bench_owner::job(901, 4, 4'000);
     passing.queue = "free";
     passing.steps[0].estimate_ms = 900;
@@ -210,10 +209,10 @@
     BOOST_TEST(it.questions().size() == 1U);
 }
 
-/// A user's report never starts though its gang has room: an instance went
-/// while a question for tickets named it, and that question seemed to be under
-/// way for good.
-BOOST_AUTO_TEST_CASE(an_instance_that_goes_does_not_keep_its_question_open)
+/// Guards against a gang that never starts although it has room: an instance
+/// was removed while an open request named it, and that request seemed to be
+/// open forever.
+BOOST_AUTO_TEST_CASE(a_removed_instance_does_not_keep_its_request_open)
 {
     tickets_asked_for it;
     auto const& tickets = it.tickets;
--- a/tests/scheduler/leave_test.cpp
+++ b/tests/scheduler/leave_test.cpp
@@ -18,7 +18,7 @@
     char const* story;
     bool checkpoints;
     bool lasting;
-    /// What it had done after a second.
+    /// Its progress after 1 s.
     int percent;
     milliseconds stays;
     bool stopped;
@@ -32,17 +32,18 @@
 leave_case const cases[] = {
     {"work that ends in time stays", false, false, 90, milliseconds{2'000},
      false},
-    {"work that cannot end in time begins anew elsewhere at once", false, false,
+    {"work that cannot end in time restarts elsewhere at once", false, false,
      10, milliseconds{2'000}, true},
     {"unless the instance may stay long enough", false, false, 10,
      milliseconds{9'000}, false},
     {"work of unknown progress stays", false, false, 0, milliseconds{2'000},
      false},
-    {"saved work goes on until shortly before", true, false, 10,
+    {"work with checkpoints continues until shortly before", true, false, 10,
      milliseconds{3'000}, false},
     {"and is then stopped", true, false, 10, milliseconds{1'400}, true},
     {"unless it ends before", true, false, 90, milliseconds{1'400}, false},
-    {"a service is moved in time", false, true, 100, milliseconds{1'400}, true},
+    {"a long-running task is moved in time", false, true, 100,
+     milliseconds{1'400}, true},
     {"and not before", false, true, 100, milliseconds{4'000}, false},
 };
 
@@ -50,10 +51,10 @@
 
 BOOST_AUTO_TEST_SUITE(leaving_instances)
 
-/// A user's job comes late by 8 s. Its instance was taken away as announced,
-/// what ran there ended without a word, and its successor had to wait until
-/// the lease had surely lapsed.
-BOOST_DATA_TEST_CASE(attempts_leave_an_instance_that_goes,
+/// Guards against a delay of 8 s: attempts left on an instance that leaves as
+/// announced end without a report, and their successors have to wait until the
+/// lease has expired.
+BOOST_DATA_TEST_CASE(attempts_are_evacuated_from_a_leaving_instance,
                      boost::unit_test::data::make(cases))
 {
     bench_owner it;
@@ -72,7 +73,7 @@
     it.decisions.tick(0, it.now);
     BOOST_TEST(count_of<scheduler::stop_order>(it.store()) ==
                (sample.stopped ? 1U : 0U));
-    // It is asked once.
+    // The stop is ordered once.
     it.advance(milliseconds{100});
     it.decisions.tick(0, it.now);
     BOOST_TEST(count_of<scheduler::stop_order>(it.store()) == 0U);
--- a/tests/scheduler/owner_test.cpp
+++ b/tests/scheduler/owner_test.cpp
@@ -27,7 +27,7 @@
 
 BOOST_AUTO_TEST_SUITE(owner)
 
-BOOST_AUTO_TEST_CASE(a_start_leaves_only_after_its_record_is_stored)
+BOOST_AUTO_TEST_CASE(a_start_is_sent_only_after_its_record_is_stored)
 {
     bench_owner it;
     it.list("a");
@@ -56,9 +56,8 @@
     BOOST_TEST((it.decisions.phase_of({1}) == job_phase::completed));
 }
 
-/// A user sees the whole process end and all its callers cut off.
-/// A task of a job with several tasks fails for the last time, the job fails,
-/// and its details are dropped while the end is still being worked on.
+/// Guards against a crash of the process: the last failure of a task fails its
+/// job, whose details were released while the end was still being processed.
 BOOST_AUTO_TEST_CASE(the_last_failure_of_a_task_stops_the_others)
 {
     bench_owner it;
@@ -82,10 +81,10 @@
     BOOST_TEST((it.decisions.phase_of({1}) == job_phase::failed));
 }
 
-/// A user's gang never starts again after one of its instances has left.
-/// The instance gives no answer; each question to it counted as a new lease,
-/// so the last one never lapsed and its task was never known to have ended.
-BOOST_AUTO_TEST_CASE(the_leases_of_a_silent_instance_lapse)
+/// Guards against a gang that never restarts after one of its instances has
+/// left: each hold request to the unresponsive instance counted as a new lease,
+/// so the last lease never expired and the end of its task was never known.
+BOOST_AUTO_TEST_CASE(the_leases_of_an_unresponsive_instance_expire)
 {
     bench_owner it;
     it.list("a");
@@ -107,10 +106,10 @@
     BOOST_TEST(again[0].instance == "b");
 }
 
-/// A user's job waits for no reason, and its starts are planned again and
-/// again. An instance that was idle for long gets a task; before the record is
-/// stored, its former lease is found to have lapsed, and the plan with it.
-BOOST_AUTO_TEST_CASE(a_lapse_leaves_planned_starts_alone)
+/// Guards against planning a start repeatedly: an idle instance gets a task,
+/// and before its record is stored the former lease is found to have expired,
+/// which dropped the plan with it.
+BOOST_AUTO_TEST_CASE(an_expired_lease_keeps_planned_starts)
 {
     bench_owner it;
     it.list("a");
@@ -123,10 +122,10 @@
     BOOST_TEST(count_of<scheduler::start_order>(it.store()) == 1U);
 }
 
-/// A user's forecast arrives twice with different numbers. An instance crashes
-/// and comes back at its address; a new owner reads the list and finds the
-/// dead life after the living one, and took the living one for gone.
-BOOST_AUTO_TEST_CASE(a_second_life_at_an_address_says_nothing_of_the_first)
+/// Guards against running a task twice: an instance crashed and reappeared at
+/// its address, and a new owner that found the dead incarnation listed after
+/// the living one took the living one for dead.
+BOOST_AUTO_TEST_CASE(a_second_incarnation_does_not_end_the_first)
 {
     bench_owner it;
     it.list("new", "address");
@@ -139,9 +138,9 @@
     BOOST_TEST(it.starts().empty());
 }
 
-/// A user's report is slow on an instance that got more than it holds. A new
-/// owner finds an attempt of a job that has finished; its need is in no record
-/// any more, and its room counted as free.
+/// Guards against overcommitting an instance: a new owner finds an attempt of a
+/// finished job whose resource need is in no record any more, and its resources
+/// counted as free.
 BOOST_AUTO_TEST_CASE(nothing_is_placed_beside_an_attempt_of_unknown_need)
 {
     bench_owner it;
@@ -155,7 +154,7 @@
     BOOST_TEST(it.starts().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_submission_that_has_not_left_can_be_taken_back)
+BOOST_AUTO_TEST_CASE(an_unsent_submission_can_be_withdrawn)
 {
     bench_owner it;
     it.list("a");
@@ -171,10 +170,10 @@
     BOOST_TEST(!it.decisions.withdraw({2}));
 }
 
-/// A user is told that the outcome of a job is not known though the store
-/// refused it. The store answers that nothing was done, so the batch goes back,
-/// and with it the decisions that waited for it.
-BOOST_AUTO_TEST_CASE(a_batch_that_was_refused_is_written_again)
+/// Guards against reporting an unknown outcome for a job that the store
+/// rejected. The store confirms that nothing was stored, so the batch is
+/// retried together with the decisions that waited for it.
+BOOST_AUTO_TEST_CASE(a_rejected_batch_is_retried)
 {
     bench_owner it;
     it.list("a");
@@ -191,7 +190,7 @@
     BOOST_TEST(count_of<scheduler::start_order>(it.store()) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_refused_submission_can_be_taken_back)
+BOOST_AUTO_TEST_CASE(a_submission_of_a_rejected_batch_can_be_withdrawn)
 {
     bench_owner it;
     it.list("a");
@@ -209,7 +208,7 @@
 namespace
 {
 
-/// What a new owner finds of a start that its predecessor stored.
+/// What a new owner finds of a start that the former owner stored.
 struct inherited_case
 {
     char const* name;
@@ -232,7 +231,7 @@
 
 } // namespace
 
-BOOST_DATA_TEST_CASE(a_successor_asks_before_it_starts_again,
+BOOST_DATA_TEST_CASE(a_successor_waits_for_a_report_before_it_restarts_a_task,
                      boost::unit_test::data::make(inherited_cases))
 {
     bench_owner former;
@@ -270,11 +269,11 @@
     }
 }
 
-/// A user asks how many jobs wait and is told fewer than there are, for the
-/// rest of the owner's time. A job is cancelled while its first start is on
-/// its way; it was counted out when it was cancelled, and again when the
-/// instance said that the start had been carried out.
-BOOST_AUTO_TEST_CASE(a_job_is_counted_out_of_the_waiting_ones_once)
+/// Guards against a count of pending jobs that is too low for the rest of the
+/// ownership: a job that was cancelled while its first start was in flight was
+/// subtracted when it was cancelled and again when the instance reported the
+/// start.
+BOOST_AUTO_TEST_CASE(a_pending_job_is_subtracted_once)
 {
     bench_owner it;
     it.list("a");
@@ -291,10 +290,10 @@
     BOOST_TEST(it.decisions.pending("q") == 1U);
 }
 
-/// An instance that works well is taken out of use. The store is slow; until an
-/// end is stored the instance names it in each report, and one failure counted
-/// as three in a row.
-BOOST_AUTO_TEST_CASE(an_end_that_is_named_again_counts_once)
+/// Guards against quarantining a healthy instance: while the store is slow the
+/// instance repeats an end in each report, and one failure counted as 3 in a
+/// row.
+BOOST_AUTO_TEST_CASE(a_repeated_end_counts_once)
 {
     bench_owner it;
     it.list("a");
--- a/tests/scheduler/placement_test.cpp
+++ b/tests/scheduler/placement_test.cpp
@@ -26,7 +26,7 @@
     char const* name;
     workload::step_spec step;
     std::vector<candidate> from;
-    /// The instances chosen, in order.
+    /// The chosen instances, in order.
     std::string expected;
 };
 
@@ -66,7 +66,7 @@
 }
 
 placement_case const task_cases[] = {
-    {"the fullest that fits",
+    {"the fullest instance that fits",
      step(1, 2'000),
      {instance("a", "r", 8'000), instance("b", "r", 2'500),
       instance("c", "r", 1'000)},
@@ -90,11 +90,11 @@
 };
 
 placement_case const gang_cases[] = {
-    {"all of it",
+    {"all tasks",
      gang(2, false),
      {instance("a", "r", 4'000), instance("b", "s", 4'000)},
      "ab"},
-    {"or nothing",
+    {"or none",
      gang(3, false),
      {instance("a", "r", 4'000), instance("b", "s", 4'000)},
      ""},
--- a/tests/scheduler/preempt_test.cpp
+++ b/tests/scheduler/preempt_test.cpp
@@ -16,7 +16,7 @@
 {
     char const* name;
     bool checkpoints;
-    /// Of the queue of the work that runs; the gang's is 1.
+    /// Priority of the queue of the running work; the gang's is 1.
     std::int32_t priority;
     /// How long the gang has waited.
     std::chrono::milliseconds waited;
@@ -33,10 +33,10 @@
 constexpr std::chrono::milliseconds pressing{500};
 
 preempt_case const preempt_cases[] = {
-    {"as much as it needs", true, 2, pressing, 2},
-    {"not while it has time", true, 2, early, 0},
-    {"no work that would begin anew", false, 2, pressing, 0},
-    {"no work that is as urgent", true, 1, pressing, 0},
+    {"as many attempts as needed", true, 2, pressing, 2},
+    {"not while the gang has time", true, 2, early, 0},
+    {"no work that would restart from the beginning", false, 2, pressing, 0},
+    {"no work of the same priority", true, 1, pressing, 0},
 };
 
 workload::queue_spec
@@ -56,9 +56,9 @@
 
 BOOST_AUTO_TEST_SUITE(preemption)
 
-/// A user's gang comes late though the cell is full of work that could wait:
-/// each slot that comes free is too small for it.
-BOOST_DATA_TEST_CASE(a_gang_that_would_be_late_takes_the_place_of_others,
+/// Guards against a late gang in a cell full of work that could wait: each slot
+/// that becomes free is too small for it.
+BOOST_DATA_TEST_CASE(a_gang_that_would_be_late_preempts_others,
                      boost::unit_test::data::make(preempt_cases))
 {
     bench_owner it;
@@ -93,7 +93,8 @@
     BOOST_TEST(count_of<scheduler::stop_order>(orders) +
                    count_of<scheduler::stop_order>(stored) ==
                sample.stops);
-    // What is being stopped counts as room to come: nothing more is stopped.
+    // Attempts that are being stopped count as room that becomes free: nothing
+    // more is stopped.
     orders = it.decide();
     BOOST_TEST(count_of<scheduler::stop_order>(orders) +
                    count_of<scheduler::stop_order>(it.store()) ==
--- a/tests/scheduler/random_test.cpp
+++ b/tests/scheduler/random_test.cpp
@@ -16,14 +16,14 @@
 
 constexpr base::duration trouble = std::chrono::seconds{20};
 constexpr base::duration calm = std::chrono::seconds{120};
-/// Two or three tasks at a time do the work of a whole cell.
+/// Under the cap only 2 or 3 tasks at a time do the work of the whole cell.
 constexpr base::duration calm_under_a_cap = std::chrono::seconds{400};
 
-/// Seeds of a usual run; `BERYLHILL_SEEDS` asks for more by hand, and
-/// `BERYLHILL_FIRST_SEED` repeats one.
+/// Number of seeds of a normal run. `BERYLHILL_SEEDS` sets another number, and
+/// `BERYLHILL_FIRST_SEED` repeats a single seed.
 constexpr std::uint64_t usual_seeds = 100;
 
-/// Within so many seeds a planted fault has to be found.
+/// A planted fault has to be found within this many seeds.
 constexpr std::uint64_t seeds_to_find = 1'000;
 
 std::uint64_t number_from(char const* variable, std::uint64_t otherwise)
@@ -32,10 +32,10 @@
     return text == nullptr ? otherwise : std::stoull(text);
 }
 
-/// Of these, with instances that leave: each run takes as long as another.
+/// Seeds of the runs with leaving instances; each run takes the same time.
 constexpr std::uint64_t usual_leaving_seeds = 50;
 
-/// And of these.
+/// Seeds of the runs with other kinds of failures.
 constexpr std::uint64_t usual_late_seeds = 50;
 constexpr std::uint64_t usual_capped_seeds = 100;
 constexpr std::uint64_t usual_crash_seeds = 50;
@@ -117,16 +117,17 @@
 
 planted_case const planted_cases[] = {
     {"a batch counts as stored when it is sent", planted::believe_unstored},
-    {"instances take orders of any token", planted::no_fence},
-    {"leases are not waited for", planted::no_wait_for_lapse},
-    {"a report counts as asked for when read", planted::trust_old_reports},
+    {"instances accept orders with any token", planted::no_fence},
+    {"the expiry of leases is not awaited", planted::no_wait_for_lapse},
+    {"a report counts as requested when it was read",
+     planted::trust_old_reports},
     {"appends are not conditional", planted::append_anywhere},
-    {"one client of two is refused", planted::refuse_one_client},
+    {"only one of two clients is rejected", planted::refuse_one_client},
     {"client accounts have no cap", planted::no_caps},
     {"a task that crashes instances is never given up", planted::never_give_up},
-    {"a task is given up with the first instance lost",
+    {"a task is given up after the first instance lost",
      planted::give_up_at_once},
-    {"changes of capacity are not heeded", planted::trust_old_capacity},
+    {"changes of capacity are ignored", planted::trust_old_capacity},
 };
 
 } // namespace
@@ -134,18 +135,18 @@
 BOOST_AUTO_TEST_SUITE(random_runs)
 
 /// Owners change, instances crash and are cut off, orders are lost and carried
-/// out seconds late, the store goes away. Nothing may run twice, begin too
-/// early, exceed an instance or be lost.
-BOOST_AUTO_TEST_CASE(promises_hold_under_random_failures)
+/// out seconds late, the store is unavailable. No task may run twice, begin too
+/// early, overcommit an instance or be lost.
+BOOST_AUTO_TEST_CASE(invariants_hold_under_random_failures)
 {
     auto const first = number_from("BERYLHILL_FIRST_SEED", 1);
     auto const seeds = number_from("BERYLHILL_SEEDS", usual_seeds);
     play(first, seeds, {});
 }
 
-/// As before, and instances say that they leave and go seconds later: nothing
-/// is sent to them then, and what runs there is moved or goes on elsewhere.
-BOOST_AUTO_TEST_CASE(promises_hold_while_instances_leave)
+/// As before, and instances announce that they leave and go seconds later: no
+/// start is sent to them then, and their tasks are moved or continue elsewhere.
+BOOST_AUTO_TEST_CASE(invariants_hold_while_instances_leave)
 {
     auto const first = number_from("BERYLHILL_FIRST_SEED", 1);
     auto const seeds = number_from("BERYLHILL_SEEDS", usual_leaving_seeds);
@@ -154,11 +155,11 @@
     play(first, seeds, rough);
 }
 
-/// As before; appends without an answer are carried out up to 6 s later,
-/// former owners stand still for seconds and go on, calls come twice while the
-/// store takes nothing. What was accepted is known to the end, what was
-/// refused never starts, and the count of those that wait is true.
-BOOST_AUTO_TEST_CASE(promises_hold_with_late_appends_and_frozen_owners)
+/// As before; unanswered appends are carried out up to 6 s later, former owners
+/// are suspended for seconds and resume, and calls are repeated while the store
+/// is unavailable. Accepted jobs are known to the end, rejected jobs never
+/// start, and the count of pending jobs is correct.
+BOOST_AUTO_TEST_CASE(invariants_hold_with_late_appends_and_suspended_owners)
 {
     auto const first = number_from("BERYLHILL_FIRST_SEED", 1);
     auto const seeds = number_from("BERYLHILL_SEEDS", usual_late_seeds);
@@ -166,8 +167,8 @@
 }
 
 /// As before, with a client account whose cap is lowered and raised: no start
-/// brings it above its cap, whoever ordered what it runs and when.
-BOOST_AUTO_TEST_CASE(no_account_gets_more_than_its_cap)
+/// exceeds the cap, whoever ordered the running attempts and when.
+BOOST_AUTO_TEST_CASE(no_account_exceeds_its_cap)
 {
     auto const first = number_from("BERYLHILL_FIRST_SEED", 1);
     auto const seeds = number_from("BERYLHILL_SEEDS", usual_capped_seeds);
@@ -175,16 +176,17 @@
 }
 
 /// As before, with tasks that crash each instance that starts them, and
-/// instances that shrink and grow: no such task starts for ever, no other job
-/// fails for it, and no start goes where there is no room for it.
-BOOST_AUTO_TEST_CASE(promises_hold_with_tasks_that_crash_their_instances)
+/// instances whose capacity changes: no such task restarts forever, no other
+/// job fails because of it, and no start goes to an instance without room.
+BOOST_AUTO_TEST_CASE(invariants_hold_with_tasks_that_crash_their_instances)
 {
     auto const first = number_from("BERYLHILL_FIRST_SEED", 1);
     auto const seeds = number_from("BERYLHILL_SEEDS", usual_crash_seeds);
     play(first, seeds, crashing_tasks);
 }
 
-/// With a guard taken out, the same runs find what it is for.
+/// With a safeguard removed, the same runs detect the violation that it
+/// prevents.
 BOOST_DATA_TEST_CASE(planted_faults_are_found,
                      boost::unit_test::data::make(planted_cases))
 {
--- a/tests/scheduler/run_times_test.cpp
+++ b/tests/scheduler/run_times_test.cpp
@@ -15,10 +15,10 @@
 struct learnt_case
 {
     char const* story;
-    /// What clients estimated, and what the tasks then took.
+    /// Pairs of the client's estimate and the observed run time.
     std::vector<std::pair<milliseconds, milliseconds>> ends;
     milliseconds estimate;
-    /// Within a tenth.
+    /// Expected values, compared with a tolerance of a tenth.
     milliseconds run_time;
     milliseconds work;
 };
@@ -43,16 +43,16 @@
 using ms = milliseconds;
 
 learnt_case const learnt[] = {
-    {"nothing seen: the estimate", {}, ms{4'000}, ms{4'000}, ms{4'000}},
-    {"few ends change nothing",
+    {"no observations: the estimate", {}, ms{4'000}, ms{4'000}, ms{4'000}},
+    {"few observations change nothing",
      {{ms{1'000}, ms{8'000}}, {ms{4'000}, ms{8'000}}},
      ms{4'000},
      ms{4'000},
      ms{4'000}},
-    {"true estimates are believed",
+    {"accurate estimates are used",
      repeated({{ms{1'000}, ms{1'000}}, {ms{4'000}, ms{4'000}}}), ms{8'000},
      ms{8'000}, ms{8'000}},
-    {"estimates that say nothing: the mean",
+    {"estimates without information: the mean",
      repeated({{ms{1'000}, ms{2'000}},
                {ms{4'000}, ms{2'000}},
                {ms{1'000}, ms{2'000}}}),
@@ -73,10 +73,10 @@
 
 BOOST_AUTO_TEST_SUITE(run_times)
 
-/// A user's job comes late though it could have started before others with
-/// time to spare: its client had estimated twice of what it takes, and so it
-/// seemed to have twice the time.
-BOOST_DATA_TEST_CASE(estimates_are_believed_as_far_as_they_were_true,
+/// Guards against a late job that could have started before others with time to
+/// spare: its client had estimated twice the real run time, so it seemed to
+/// have twice the time.
+BOOST_DATA_TEST_CASE(estimates_count_as_far_as_they_were_accurate,
                      boost::unit_test::data::make(learnt))
 {
     scheduler::run_times it;
@@ -88,7 +88,7 @@
     BOOST_TEST(near(it.work("q", sample.estimate), sample.work));
 }
 
-BOOST_AUTO_TEST_CASE(queues_are_learnt_apart)
+BOOST_AUTO_TEST_CASE(queues_are_learnt_separately)
 {
     scheduler::run_times it;
     for (int n = 0; n < 100; ++n)
--- a/tests/scheduler/start_waits_test.cpp
+++ b/tests/scheduler/start_waits_test.cpp
@@ -28,9 +28,9 @@
 
 BOOST_AUTO_TEST_SUITE(start_waits)
 
-/// Gangs ask for advice when it is too late: their turn came by their latest
-/// start, whatever has to be done before it.
-BOOST_AUTO_TEST_CASE(what_waits_long_has_its_turn_early)
+/// Guards against gangs that request advice too late because they were served
+/// by their latest start, whatever has to be done before it.
+BOOST_AUTO_TEST_CASE(a_queue_with_long_waits_is_served_early)
 {
     scheduler::start_waits it;
     base::instant now{std::chrono::seconds{100}};
@@ -41,8 +41,8 @@
     BOOST_TEST((it.lead("unknown", 3) == base::duration{0}));
 }
 
-/// The widest gangs are served half as often as the others.
-BOOST_AUTO_TEST_CASE(a_wide_step_has_its_turn_before_a_narrow_one)
+/// Guards against the widest gangs being served half as often as the others.
+BOOST_AUTO_TEST_CASE(a_wide_step_is_served_before_a_narrow_one)
 {
     scheduler::start_waits it;
     base::instant now{std::chrono::seconds{100}};
@@ -51,7 +51,7 @@
     BOOST_TEST((it.lead("gangs", 5) < it.lead("gangs", 20)));
 }
 
-BOOST_AUTO_TEST_CASE(a_wait_of_long_ago_counts_no_more)
+BOOST_AUTO_TEST_CASE(old_waits_no_longer_count)
 {
     scheduler::start_waits it;
     base::instant now{std::chrono::seconds{100}};
--- a/tests/scheduler/trace_log.hpp
+++ b/tests/scheduler/trace_log.hpp
@@ -10,7 +10,7 @@
 namespace berylhill::scheduler_test
 {
 
-/// Forgets its lines, or prints them with the virtual time where
+/// Discards its lines, or prints them with the virtual time if
 /// `BERYLHILL_TRACE` is set.
 class trace_log final : public scheduler::decision_log
 {
--- a/tests/scheduler/world.cpp
+++ b/tests/scheduler/world.cpp
@@ -12,7 +12,7 @@
 constexpr base::duration moment = std::chrono::milliseconds{100};
 constexpr base::duration client_patience = std::chrono::milliseconds{1'500};
 
-/// Two queues: one for anything, one whose instances are advised.
+/// Two queues, one of which requires advice.
 workload::cell_configuration configuration()
 {
     workload::cell_configuration out;
@@ -33,7 +33,7 @@
     return out;
 }
 
-/// Two accounts, one of which may use so many cores.
+/// Two accounts, one of which has this cap.
 void set_cap(workload::cell_configuration& in, std::int64_t cpu_millis)
 {
     in.accounts = workload::account_table{
@@ -64,7 +64,7 @@
     {
         set_cap(m_configuration, largest_cap_millis);
     }
-    // Nothing is forgotten before the end.
+    // Finished jobs are kept until the end of the run.
     m_rules.status_kept = std::chrono::hours{1};
     if (fault == planted::no_wait_for_lapse)
     {
@@ -220,7 +220,7 @@
     after(moment, [this] { every_moment(); });
 }
 
-/// The operator changes a cap: to less than may run, or back.
+/// The operator lowers a cap, possibly below the current usage, or restores it.
 void world::change_cap()
 {
     auto const now = m_configuration.accounts->all()[0].cap.cpu_millis;
@@ -250,7 +250,7 @@
         step.gang = chance(0.3);
         if (step.gang)
         {
-            // Any single instance can hold it, so that it can always run.
+            // Any single instance can hold the gang, so that it can always run.
             step.need = {1'000, 1'000, 0};
         }
         step.can_checkpoint = chance(0.3);
@@ -287,7 +287,7 @@
     }
 }
 
-/// A client's call reaches the owner of the moment, and waits for its batch.
+/// A client's call reaches the current owner and waits for its batch.
 void world::hand_in(workload::job_spec const& it)
 {
     if (!m_owner->alive || m_now < m_owner->frozen_until)
@@ -318,7 +318,8 @@
     pump(m_owner);
 }
 
-/// True of this client; of the job only while no other has been accepted.
+/// The rejection holds for this client; for the job only while no other
+/// client's submission has been accepted.
 void world::note_refused(workload::job_id it)
 {
     if (!m_accepted.contains(it))
--- a/tests/scheduler/world.hpp
+++ b/tests/scheduler/world.hpp
@@ -19,63 +19,64 @@
 namespace berylhill::scheduler_test
 {
 
-/// A guard that a run takes out, to see that the checks find what it is for.
+/// A safeguard that a run removes, to see that the checks detect the resulting
+/// violation.
 enum class planted : std::uint8_t
 {
     nothing,
     /// A batch counts as stored when it is sent.
     believe_unstored,
-    /// Instances take orders of any token.
+    /// Instances accept orders with any token.
     no_fence,
-    /// Leases are taken to have lapsed long before they have.
+    /// Leases are assumed to have expired long before they have.
     no_wait_for_lapse,
-    /// A report counts as asked for when it was read.
+    /// A report counts as requested when it was read.
     trust_old_reports,
-    /// An append is not conditional: former owners go on writing.
+    /// Appends are not conditional: former owners can still write.
     append_anywhere,
-    /// Of two clients that hand one job in only the first is refused.
+    /// Of two clients that submit one job only the first is rejected.
     refuse_one_client,
     /// Client accounts have no cap.
     no_caps,
-    /// However many instances are lost under a task, it starts again.
+    /// A task restarts however many instances are lost under it.
     never_give_up,
-    /// A task is given up with the first instance that is lost under it.
+    /// A task is given up after the first instance lost under it.
     give_up_at_once,
-    /// Owners learn of no change of capacity.
+    /// Owners are not told about changes of capacity.
     trust_old_capacity,
 };
 
-/// What an account with a cap may use, as the operator changes it.
+/// The caps that the operator switches between.
 inline constexpr std::int64_t largest_cap_millis = 7'000;
 inline constexpr std::int64_t smallest_cap_millis = 5'000;
 
-/// What an instance has while its capacity is whole.
+/// The full capacity of an instance.
 inline constexpr workload::resources whole_instance{8'000, 8'000, 0};
 
-/// How rough a run is.
+/// The failure rates of a run.
 struct roughness
 {
-    /// Shares of orders whose request or answer is lost, and that are carried
-    /// out seconds later.
+    /// Probabilities that the request or answer of an order is lost, and that
+    /// an order is carried out seconds late.
     double lose{0.04};
     double late{0.03};
-    /// For each tenth of a second.
+    /// Probabilities per tenth of a second.
     double owner_change{0.02};
     double crash{0.01};
     double cut{0.015};
     double store_down{0.01};
-    /// Instances that say that they leave.
+    /// Instances that announce that they leave.
     double drain{0};
-    /// Former owners that stand still for seconds after a takeover and then
-    /// go on as if they still owned.
+    /// Former owners that are suspended for seconds after a takeover and then
+    /// resume as if they still were the owner.
     double freeze{0};
-    /// Appends without an answer that the store carries out up to 6 s later.
+    /// Unanswered appends that the store carries out up to 6 s later.
     double late_append{0};
-    /// Submissions whose call comes a second time while the first waits.
+    /// Submissions whose call is repeated while the first one waits.
     double twice{0};
     /// Jobs that are cancelled within their first second.
     double cancel_new{0};
-    /// Jobs of a client account with a cap; the cap changes meanwhile.
+    /// Jobs of a client account with a cap that changes.
     double capped{0};
     /// Jobs with a task that crashes each instance that starts it.
     double crashers{0};
@@ -83,18 +84,18 @@
     double resize{0};
 };
 
-/// A cell on a virtual clock: instances that keep what the platform's pages
-/// say of them, a log with conditional appends, one owner after the other,
-/// former owners that go on for a while, and a network that loses, delays,
-/// doubles and reorders. It checks what must always hold while it runs.
+/// Simulates a cell on a virtual clock: instances that behave as the platform's
+/// documentation says, a log with conditional appends, successive owners,
+/// former owners that continue for a while, and a network that loses, delays,
+/// duplicates and reorders messages. Checks the invariants while it runs.
 class world
 {
 public:
     world(std::uint64_t seed, roughness rough, planted fault);
 
-    /// Runs for so long with trouble, then without until everything has
-    /// ended or `calm` has passed. Returns what was broken; empty where
-    /// nothing was.
+    /// Runs with failures for `trouble`, then without until everything has
+    /// ended or `calm` has passed. Returns the violations; empty if there were
+    /// none.
     [[nodiscard]] std::vector<std::string> run(base::duration trouble,
                                                base::duration calm);
 
@@ -119,23 +120,23 @@
     {
         scheduler::ended_row row;
         base::instant at{};
-        /// Of the instance, then: an end counts as acknowledged only if the
-        /// lease has not lapsed since.
+        /// The instance's `lapses` at that time: an end counts as acknowledged
+        /// only if the lease has not expired since.
         std::uint64_t lapses{0};
     };
 
-    /// What the platform's pages say of one life of an instance.
+    /// One incarnation of an instance.
     struct fake_instance
     {
         std::string id;
         std::string address;
         workload::resources capacity;
-        /// What it was, and until when that counts.
+        /// Former capacities, and the time until which each applies.
         std::vector<std::pair<base::instant, workload::resources>> larger;
         bool up{true};
         bool cut{false};
-        /// Since when it says that it leaves, and when it does at the
-        /// earliest.
+        /// When it announced that it leaves, and the earliest time at which it
+        /// does.
         std::optional<base::instant> drains_since;
         base::instant leaves_at{};
         std::uint64_t token{0};
@@ -146,7 +147,7 @@
         std::vector<fake_end> ended;
         std::uint64_t next_end{1};
         std::map<workload::task_name, std::uint32_t> highest;
-        /// How often its lease has lapsed.
+        /// How often its lease has expired.
         std::uint64_t lapses{0};
     };
 
@@ -159,7 +160,7 @@
         bool appending{false};
         std::map<std::string, base::instant> hold_after;
         base::instant frozen_until{};
-        /// Since when its open batch is not stored.
+        /// Since when its batch has been waiting for the store.
         std::optional<base::instant> stuck_since;
         cell::batch_waiters clients;
     };
@@ -256,7 +257,8 @@
     void change_cap();
 
     std::mt19937_64 m_random;
-    /// By itself, so that a seed means the same with and without it.
+    /// Separate generators, so that a seed gives the same run with and without
+    /// these failures.
     std::mt19937_64 m_drain_random;
     std::mt19937_64 m_freeze_random;
     std::mt19937_64 m_late_random;
@@ -275,7 +277,8 @@
         m_events;
     std::map<std::string, std::unique_ptr<fake_instance>> m_instances;
     std::set<std::string> m_listed;
-    /// The cell's log: the newest of each key, and who wrote each offset.
+    /// The cell's log: the newest record of each key, and the writer of each
+    /// offset.
     std::map<std::string, std::string> m_newest;
     std::vector<std::uint64_t> m_writers;
     bool m_store_up{true};
@@ -284,18 +287,18 @@
     std::map<workload::job_id, workload::job_spec> m_submitted;
     std::set<workload::job_id> m_accepted;
     std::set<workload::job_id> m_cancelled;
-    /// Those of which every client was told that they never run.
+    /// Jobs that were rejected to every client and so must never run.
     std::set<workload::job_id> m_refused;
-    /// Those with a start on some instance.
+    /// Jobs with a start on any instance.
     std::set<workload::job_id> m_begun;
-    /// Tasks with an end `done` on some instance, and those of which such an
-    /// end was acknowledged.
+    /// Tasks with an end `done` on any instance, and those with such an end
+    /// acknowledged.
     std::set<workload::task_name> m_done;
     std::set<workload::task_name> m_done_seen;
     std::map<workload::task_name, base::instant> m_last_start;
     std::map<workload::step_name, std::set<std::uint32_t>> m_failed_runs;
-    /// Those that crash what starts them, and how many instances crashed
-    /// under each task, of these or of others.
+    /// Tasks that crash the instances that start them, and how many instances
+    /// crashed under each task, of these or of others.
     std::set<workload::task_name> m_crashers;
     std::map<workload::task_name, std::uint32_t> m_crashes;
     std::map<workload::task_name, std::uint32_t> m_failures;
--- a/tests/scheduler/world_checks.cpp
+++ b/tests/scheduler/world_checks.cpp
@@ -11,7 +11,7 @@
     if (spec == nullptr ||
         it.payload != "payload " + text_of(it.attempt.task.step.job))
     {
-        broken("a start that nobody asked for: " + name);
+        broken("start without a submission: " + name);
         return;
     }
     workload::resources used;
@@ -26,7 +26,7 @@
     check_crashes(it.attempt.task);
     if (spec->max_per_instance != 0 && of_step >= spec->max_per_instance)
     {
-        broken("too many of a step on " + at.id + ": " + name);
+        broken("too many tasks of a step on " + at.id + ": " + name);
     }
     for (auto const& [id, other] : m_instances)
     {
@@ -34,7 +34,7 @@
         {
             if (running.task == it.attempt.task && other->up)
             {
-                auto what = "in two places: " + name;
+                auto what = "task runs twice: " + name;
                 what += " on " + at.id;
                 what += " and " + id;
                 broken(what);
@@ -43,12 +43,12 @@
     }
     if (m_done_seen.contains(it.attempt.task))
     {
-        broken("again after its end was acknowledged: " + name);
+        broken("restarted after its end was acknowledged: " + name);
     }
     auto const& job = m_submitted.at(it.attempt.task.step.job);
     if (m_refused.contains(job.id))
     {
-        broken("a refused job starts: " + name);
+        broken("rejected job starts: " + name);
     }
     check_cap(job, *spec);
     m_begun.insert(job.id);
@@ -61,13 +61,15 @@
             earlier.index = n;
             if (!m_done.contains(earlier) && !job.steps[before].gang)
             {
-                broken("too early: " + name + " before " + text_of(earlier));
+                broken("starts before its dependency: " + name + " before " +
+                       text_of(earlier));
             }
         }
     }
 }
 
-/// Counted from what the instances run. Caps change, and the largest counts.
+/// Usage is counted from what the instances run. The cap changes, so the
+/// largest value applies.
 void world::check_cap(workload::job_spec const& job,
                       workload::step_spec const& step)
 {
@@ -88,7 +90,8 @@
     }
     if (used > largest_cap_millis)
     {
-        broken("an account above its cap: " + std::to_string(used));
+        broken("account exceeds its cap, in millicores: " +
+               std::to_string(used));
     }
 }
 
@@ -108,7 +111,7 @@
                           m_done_seen.insert(task);
                           if (m_last_start[task] > it.at)
                           {
-                              broken("again after an end that is "
+                              broken("restarted after an end that is "
                                      "acknowledged later: " +
                                      text_of(task));
                           }
@@ -117,8 +120,8 @@
                   });
 }
 
-/// What the owner says of how many wait is never less than those that were
-/// accepted and have not begun anywhere.
+/// The owner's count of pending jobs is never less than the number of accepted
+/// jobs that have not begun anywhere.
 void world::check_pending()
 {
     if (!m_owner->alive || m_now < m_owner->frozen_until)
@@ -137,8 +140,8 @@
     }
     if (told < waiting)
     {
-        broken(std::to_string(waiting) + " jobs wait, the owner says " +
-               std::to_string(told));
+        broken(std::to_string(waiting) +
+               " jobs are pending, the owner counts " + std::to_string(told));
     }
 }
 
@@ -162,18 +165,18 @@
         auto const phase = m_owner->decisions->phase_of(id);
         if (!phase)
         {
-            into.push_back("lost: " + text_of(id));
+            into.push_back("job lost: " + text_of(id));
             continue;
         }
         if (!finished(*phase))
         {
-            into.push_back("never ended: " + text_of(id));
+            into.push_back("job never ended: " + text_of(id));
             continue;
         }
         if (*phase == scheduler::job_phase::cancelled &&
             !m_cancelled.contains(id))
         {
-            into.push_back("cancelled by nobody: " + text_of(id));
+            into.push_back("job cancelled without a request: " + text_of(id));
         }
         if (*phase == scheduler::job_phase::failed)
         {
@@ -191,7 +194,7 @@
                 auto const task = workload::task_name{{id, 0, s}, n};
                 if (!m_done.contains(task) && !spec.steps[s].gang)
                 {
-                    into.push_back("completed without " + text_of(task));
+                    into.push_back("job completed without " + text_of(task));
                 }
             }
         }
--- a/tests/scheduler/world_failures.cpp
+++ b/tests/scheduler/world_failures.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// An instance that is silent stays in the list for so long.
+/// How long an unresponsive instance stays in the endpoint list.
 constexpr base::duration listed_for = std::chrono::milliseconds{4'500};
 
 } // namespace
@@ -73,7 +73,7 @@
     return out;
 }
 
-/// It says that it leaves, goes on for a while, and goes.
+/// The instance announces that it leaves, continues for a while and terminates.
 void world::drain(fake_instance& it)
 {
     auto const between_ms = [this](std::int64_t a, std::int64_t b)
@@ -105,8 +105,8 @@
     go(it);
 }
 
-/// Everything that ran there is gone; another life comes at the same address
-/// or at a new one.
+/// The instance terminates with all its attempts; another incarnation appears
+/// at the same address or at a new one.
 void world::go(fake_instance& it)
 {
     it.up = false;
--- a/tests/scheduler/world_orders.cpp
+++ b/tests/scheduler/world_orders.cpp
@@ -18,9 +18,10 @@
 
 void world::send(owner_pointer const& by, scheduler::start_order const& it)
 {
-    // The list is read at once here, so nothing but what was being stored is
-    // sent to an instance that says that it leaves; but for what a former
-    // owner had decided before it stood still, which the instance refuses.
+    // The endpoint list is read at once here, so only starts whose records were
+    // being stored are sent to an instance that has announced that it leaves;
+    // and those that a former owner had decided before it was suspended, which
+    // the instance rejects.
     constexpr base::duration storing = std::chrono::seconds{2};
     auto const& target = *m_instances.at(it.instance);
     auto const stood_still = by != m_owner && target.drains_since &&
@@ -29,7 +30,7 @@
         m_now - *target.drains_since > storing && m_store_up)
     {
         broken("start of " + text_of(it.attempt.task) + " sent to " +
-               it.instance + ", which leaves, by the owner of token " +
+               it.instance + ", which is leaving, by the owner with token " +
                std::to_string(by->token));
     }
     auto const answer = [this, by, it](start_answer end, std::int64_t clock)
@@ -141,11 +142,11 @@
               std::vector<scheduler::permission> allowed;
               for (auto const& id : it.instances)
               {
-                  // Which ones are allowed never changes.
+                  // Whether an instance is allowed never changes.
                   constexpr unsigned well_mixed_bits = 33;
                   auto const hash =
                       std::hash<std::string>{}(id + text_of(it.step));
-                  // Some instance is always allowed, so that steps can run.
+                  // Some instances are always allowed, so that steps can run.
                   auto const always = (id.back() - '0') % 2 == 0;
                   if (always || (hash >> well_mixed_bits) % 4 != 0)
                   {
--- a/tests/scheduler/world_owner.cpp
+++ b/tests/scheduler/world_owner.cpp
@@ -10,14 +10,14 @@
 {
 
 constexpr base::duration tick = std::chrono::milliseconds{25};
-/// After it, what was not sent to the store is refused.
+/// After this time, submissions that were not sent to the store are rejected.
 constexpr base::duration stuck_limit = std::chrono::milliseconds{600};
 constexpr base::duration answer_timeout = std::chrono::milliseconds{400};
 constexpr base::duration hold_pause = std::chrono::milliseconds{60};
 
 } // namespace
 
-/// The former owner does not know it yet, and goes on.
+/// A new owner takes over. The former owner does not know it yet and continues.
 void world::take_over()
 {
     if (!m_store_up)
@@ -54,7 +54,7 @@
     every_tick(made);
 }
 
-/// It stands still, and goes on later with what it believed before.
+/// Suspends the owner; it resumes later with outdated state.
 void world::freeze(owner_pointer const& it)
 {
     auto const pause = std::uniform_int_distribution<std::int64_t>{500, 6'000}(
@@ -62,12 +62,12 @@
     it->frozen_until = m_now + std::chrono::milliseconds{pause};
 }
 
-/// What was never sent is taken back and its clients are told so, once the
-/// store has taken nothing for a while.
+/// Withdraws submissions that were never sent and rejects their clients' calls
+/// after the store has been unavailable for a while.
 void world::refuse_unsent(owner_pointer const& by)
 {
-    // Only in the runs that are for it: the seeds of the others keep their
-    // meaning.
+    // Only in the runs that need it: the random sequences of the other runs
+    // stay the same.
     if (m_rough.twice <= 0 || !by->stuck_since ||
         m_now - *by->stuck_since < stuck_limit)
     {
@@ -117,7 +117,7 @@
         return;
     }
     refuse_unsent(it);
-    // Their outcome is not known; they are told so.
+    // Clients whose outcome is unknown are told so.
     (void)it->clients.expire(m_now);
     it->decisions->tick(0, m_now);
     pump(it);
@@ -196,7 +196,7 @@
     }
     if (chance(m_trouble ? m_rough.lose : 0))
     {
-        // Its answer is lost; it may be carried out seconds later.
+        // The answer is lost, and the append may be carried out seconds later.
         auto const pause = std::chrono::milliseconds{between(0, 3'000)};
         after(chance(0.5) ? hop() : pause, [this, it, records, at = it->next]
               { arrive(it, at, records, false); });
@@ -230,7 +230,7 @@
     }
     auto const fits =
         at == m_writers.size() || m_fault == planted::append_anywhere;
-    // A late arrival of a batch that is stored finds the log further on.
+    // If the batch is stored already, a late append finds the log further on.
     auto const mine = at < m_writers.size() && m_writers[at] == it->token;
     if (fits)
     {
@@ -275,7 +275,7 @@
               }
               it->stuck_since.reset();
               tell(it->clients.batch_stored());
-              // Also those whose client was not kept until now.
+              // Includes jobs whose client had got no answer until now.
               for (auto const& [id, spec] : m_submitted)
               {
                   if (it->decisions->phase_of(id))
--- a/tests/scheduler/world_platform.cpp
+++ b/tests/scheduler/world_platform.cpp
@@ -137,7 +137,7 @@
     return out;
 }
 
-/// When all members of a run are there, they go to work and end together.
+/// When all members of a run are present, they start to work and end together.
 void world::gang_begins(attempt_name const& of)
 {
     auto const* const spec = spec_of(of.task.step);
@@ -166,8 +166,9 @@
           });
 }
 
-/// One member's end ends the others: all `done`, or one `failed` and the
-/// others `broken`.
+/// The end of one member ends the others: either all end with `done`, or one
+/// ends with `failed` and the others with `gang_member_ended` (written as
+/// `broken`).
 void world::gang_ends(attempt_name const& of,
                       fake_instance const* by,
                       end_reason reason)
