--- a/libraries/cell/advice_dispatcher.cpp
+++ b/libraries/cell/advice_dispatcher.cpp
@@ -41,7 +41,7 @@
     return m_known;
 }
 
-std::size_t advice_dispatcher::machines()
+std::size_t advice_dispatcher::sender_count()
 {
     return others().size() + 1;
 }
@@ -69,26 +69,26 @@
 
 void advice_dispatcher::send(advice_queue::assignment const& it)
 {
-    auto const& order = m_questions.at(it.question).order;
+    auto const& order = m_questions.at(it.request).order;
     auto const timeout = order.expected * expected_factor + answer_slack;
     auto done = [this, it](advice_result const& result)
     {
         answered(it, result);
     };
-    if (it.machine == network::socket_address{})
+    if (it.sender == network::socket_address{})
     {
         m_own.ask(order.step, order.instances, timeout, std::move(done));
         return;
     }
-    m_peers.advise(it.machine, order.step, order.instances, timeout,
+    m_peers.advise(it.sender, order.step, order.instances, timeout,
                    std::move(done));
 }
 
 void advice_dispatcher::answered(advice_queue::assignment const& it,
                                  advice_result const& result)
 {
-    m_queue.ended(it.machine, result.answered, m_clock.now());
-    auto const known = m_questions.extract(it.question);
+    m_queue.ended(it.sender, result.answered, m_clock.now());
+    auto const known = m_questions.extract(it.request);
     send_next();
     known.mapped().done(result);
 }
--- a/libraries/cell/advice_dispatcher.hpp
+++ b/libraries/cell/advice_dispatcher.hpp
@@ -30,7 +30,7 @@
                       peers_function others);
 
     /// The number of processes that can send requests now, this one included.
-    [[nodiscard]] std::size_t machines();
+    [[nodiscard]] std::size_t sender_count();
 
     /// `done` is called once, on the event loop.
     void ask(scheduler::advice_order const& it, handler done);
--- a/libraries/cell/advice_queue.hpp
+++ b/libraries/cell/advice_queue.hpp
@@ -29,22 +29,22 @@
     /// The process that sends a request. A value.
     struct assignment
     {
-        std::uint64_t question{0};
+        std::uint64_t request{0};
         /// Address of the process; empty for this process.
-        network::socket_address machine;
+        network::socket_address sender;
 
         friend bool operator==(assignment const&, assignment const&) = default;
     };
 
     /// Adds a request. Precondition: the number is new.
-    void add(std::uint64_t question, scheduler::advice_order const& order);
+    void add(std::uint64_t request, scheduler::advice_order const& order);
 
-    /// Returns the next request that a free machine can send. `others` are the
+    /// Returns the next request that a free process can send. `others` are the
     /// other live processes.
     [[nodiscard]] std::optional<assignment>
     next(std::vector<peer> const& others, base::instant now);
 
-    /// Reports that a request sent by the machine `by` has ended. Precondition:
+    /// Reports that a request sent by `by` has ended. Precondition:
     /// `next` assigned it.
     void
     ended(network::socket_address const& by, bool answered, base::instant now);
@@ -61,14 +61,14 @@
         bool takes_long{false};
         bool late{false};
         base::instant needed_by{};
-        std::uint64_t question{0};
+        std::uint64_t request{0};
 
         friend auto operator<=>(turn const&, turn const&) = default;
     };
 
     struct machine
     {
-        std::size_t asking{0};
+        std::size_t requests_in_flight{0};
         base::instant avoid_until{};
     };
 
@@ -77,17 +77,17 @@
     using machines = std::map<network::socket_address, machine>;
     using known_machine = machines::value_type;
 
-    void set_machines(std::vector<peer> const& others);
+    void set_senders(std::vector<peer> const& others);
     [[nodiscard]] known_machine*
     least_busy(std::size_t from, bool takes_long, base::instant now) const;
 
     std::map<turn, base::duration> m_waiting;
-    machines m_machines;
+    machines m_senders;
     std::vector<peer> m_others;
-    /// The live machines in order of preference. Pointers avoid a lookup by
+    /// The live processes in order of preference. Pointers avoid a lookup by
     /// address for each request.
     std::vector<known_machine*> m_candidates;
-    std::size_t m_asking{0};
+    std::size_t m_requests_in_flight{0};
 };
 
 } // namespace berylhill::cell
--- a/libraries/cell/batch_waiters.cpp
+++ b/libraries/cell/batch_waiters.cpp
@@ -63,14 +63,14 @@
     std::set<workload::job_id> withdrawn;
     for (auto const& it : m_next)
     {
-        if (it.submitted.number != 0 && !withdrawn.contains(it.submitted) &&
-            withdraw(it.submitted))
+        if (it.submitted_job.number != 0 &&
+            !withdrawn.contains(it.submitted_job) && withdraw(it.submitted_job))
         {
-            withdrawn.insert(it.submitted);
+            withdrawn.insert(it.submitted_job);
         }
     }
     return take_where(m_next, [&](batch_waiter const& it)
-                      { return withdrawn.contains(it.submitted); });
+                      { return withdrawn.contains(it.submitted_job); });
 }
 
 batch_waiters::list batch_waiters::expire(base::instant now)
--- a/libraries/cell/batch_waiters.hpp
+++ b/libraries/cell/batch_waiters.hpp
@@ -14,7 +14,7 @@
 {
     job_answer_handler done;
     /// The job that it submitted; 0 for other calls.
-    workload::job_id submitted;
+    workload::job_id submitted_job;
     /// When the client must be answered at the latest.
     base::instant deadline;
 };
--- a/libraries/cell/call_router.cpp
+++ b/libraries/cell/call_router.cpp
@@ -16,12 +16,12 @@
 
 /// A change of owner takes about a second. A call that has reached no owner by
 /// then is refused with a time to retry after.
-constexpr base::duration longest_search = std::chrono::milliseconds{1'500};
+constexpr base::duration max_search_time = std::chrono::milliseconds{1'500};
 /// Pause before the next attempt to reach an owner.
 constexpr base::duration retry_pause = std::chrono::milliseconds{40};
 
 /// How often the router checks that the called owner still owns the work.
-constexpr base::duration owner_look = std::chrono::milliseconds{50};
+constexpr base::duration owner_check_interval = std::chrono::milliseconds{50};
 
 } // namespace
 
@@ -81,7 +81,7 @@
         std::make_shared<pending_call>(m_loop, std::move(it), std::move(done));
     auto const now = m_clock.now();
     made->answer_by = now + made->call.timeout - answer_margin;
-    made->search_until = std::min(now + longest_search, made->answer_by);
+    made->search_until = std::min(now + max_search_time, made->answer_by);
     ++m_under_way;
     send_to_owner(made);
 }
@@ -116,7 +116,7 @@
 void call_router::watch_owner(pending_call_pointer const& it,
                               std::uint32_t asked)
 {
-    it->timer.expires_after(owner_look);
+    it->timer.expires_after(owner_check_interval);
     it->timer.async_wait(
         [this, it, asked](auto ec)
         {
--- a/libraries/cell/cell_owner.cpp
+++ b/libraries/cell/cell_owner.cpp
@@ -263,7 +263,7 @@
                 return;
             }
             auto const now = m_parts.clock->now();
-            m_decisions.set_advice_machines(m_parts.advice->machines());
+            m_decisions.set_advice_machines(m_parts.advice->sender_count());
             m_decisions.tick(wall_ms(*m_parts.clock), now);
             if (store_blocked())
             {
--- a/libraries/cell/cell_owner.hpp
+++ b/libraries/cell/cell_owner.hpp
@@ -118,7 +118,8 @@
     void send(scheduler::advice_order const& it);
     void send_due_holds();
     void send_hold(std::string const& id);
-    [[nodiscard]] hold_list::standing standing_of(std::string const& id) const;
+    [[nodiscard]] hold_list::standing
+    hold_status_of(std::string const& id) const;
     void
     hold_answered(std::string const& id, hold_result it, base::instant sent_at);
     [[nodiscard]] order_target target(std::string const& id) const;
--- a/libraries/cell/cell_owner_batch.cpp
+++ b/libraries/cell/cell_owner_batch.cpp
@@ -45,7 +45,7 @@
         [this](workload::job_id it) { return m_decisions.withdraw(it); });
     for (auto const& it : refused)
     {
-        log_refusal(it.submitted);
+        log_refusal(it.submitted_job);
         it.done({job_answer_kind::refused, {}, 0, default_retry_after});
     }
 }
--- a/libraries/cell/cell_owner_orders.cpp
+++ b/libraries/cell/cell_owner_orders.cpp
@@ -19,7 +19,7 @@
 /// Hold requests per scheduling round: a small part of a cell with thousands of
 /// instances, so that a new owner also answers the processes that watch it.
 /// Between two rounds the event loop serves others for twice as long.
-constexpr std::size_t most_holds = 100;
+constexpr std::size_t max_holds_at_once = 100;
 
 } // namespace
 
@@ -116,13 +116,13 @@
                         });
 }
 
-hold_list::standing cell_owner::standing_of(std::string const& id) const
+hold_list::standing cell_owner::hold_status_of(std::string const& id) const
 {
     auto const& all = m_decisions.instances().all();
     auto const at = all.find(id);
     if (at == all.end())
     {
-        return hold_list::standing::gone;
+        return hold_list::standing::unknown;
     }
     // An entry of a service that no queue uses may belong to another system, at
     // an address that must not be called.
@@ -137,14 +137,14 @@
 
 void cell_owner::send_due_holds()
 {
-    auto const due =
-        m_holds.take_due(m_parts.clock->now(), m_batches_stored, most_holds,
-                         [this](auto const& it) { return standing_of(it); });
+    auto const due = m_holds.take_due(
+        m_parts.clock->now(), m_batches_stored, max_holds_at_once,
+        [this](auto const& it) { return hold_status_of(it); });
     for (auto const& id : due)
     {
         send_hold(id);
     }
-    if (due.size() == most_holds)
+    if (due.size() == max_holds_at_once)
     {
         schedule_round();
     }
--- a/libraries/cell/compressed_text.cpp
+++ b/libraries/cell/compressed_text.cpp
@@ -11,7 +11,7 @@
 {
 
 /// Growth step of the output buffer.
-constexpr std::size_t piece = std::size_t{64} * 1024;
+constexpr std::size_t chunk_size = std::size_t{64} * 1024;
 
 Bytef const* bytes_of(std::string_view it)
 {
@@ -39,7 +39,7 @@
 }
 
 base::result<std::string> decompressed(std::string_view it,
-                                       std::size_t most_bytes)
+                                       std::size_t max_bytes)
 {
     z_stream stream{};
     if (::inflateInit(&stream) != Z_OK)
@@ -50,10 +50,10 @@
     stream.avail_in = static_cast<uInt>(it.size());
     std::string out;
     auto end = Z_OK;
-    while (end == Z_OK && out.size() <= most_bytes)
+    while (end == Z_OK && out.size() <= max_bytes)
     {
         auto const before = out.size();
-        auto const room = std::min(piece, most_bytes + 1 - before);
+        auto const room = std::min(chunk_size, max_bytes + 1 - before);
         out.resize(before + room);
         stream.next_out = reinterpret_cast<Bytef*>(out.data() + before);
         stream.avail_out = static_cast<uInt>(room);
@@ -61,7 +61,7 @@
         out.resize(before + room - stream.avail_out);
     }
     ::inflateEnd(&stream);
-    if (out.size() > most_bytes)
+    if (out.size() > max_bytes)
     {
         return base::fail(unreadable("too large"));
     }
--- a/libraries/cell/compressed_text.hpp
+++ b/libraries/cell/compressed_text.hpp
@@ -13,8 +13,8 @@
 [[nodiscard]] std::string compressed(std::string_view text);
 
 /// Returns the text that was compressed. Fails with `invalid` if the input is
-/// not zlib data or the text has more than `most_bytes`. Pure; thread-safe.
+/// not zlib data or the text has more than `max_bytes`. Pure; thread-safe.
 [[nodiscard]] base::result<std::string> decompressed(std::string_view it,
-                                                     std::size_t most_bytes);
+                                                     std::size_t max_bytes);
 
 } // namespace berylhill::cell
--- a/libraries/cell/configuration_spread.cpp
+++ b/libraries/cell/configuration_spread.cpp
@@ -8,24 +8,24 @@
 namespace
 {
 
-/// A process that has read the store this recently is given `read_takes` to
-/// read the new version itself: all processes read it at about the same time,
-/// and all would fetch it from one process.
+/// A process that has read the store this recently is given `usual_read_time`
+/// to read the new version itself: all processes read it at about the same
+/// time, and all would fetch it from one process.
 constexpr base::duration recent_read = std::chrono::milliseconds{1'200};
-constexpr base::duration read_takes = std::chrono::milliseconds{200};
+constexpr base::duration usual_read_time = std::chrono::milliseconds{200};
 
 /// Time to the first byte of a fetched configuration, doubled after each
 /// failure up to the limit.
-constexpr base::duration least_fetch_patience = std::chrono::milliseconds{600};
-constexpr base::duration most_fetch_patience = std::chrono::milliseconds{2'400};
+constexpr base::duration min_fetch_timeout = std::chrono::milliseconds{600};
+constexpr base::duration max_fetch_timeout = std::chrono::milliseconds{2'400};
 
 /// Age of a version that was never confirmed: above any limit.
-constexpr base::duration unconfirmed = std::chrono::hours{1};
+constexpr base::duration unconfirmed_age = std::chrono::hours{1};
 
 } // namespace
 
 configuration_spread::configuration_spread()
-    : m_fetch_timeout{least_fetch_patience}
+    : m_fetch_timeout{min_fetch_timeout}
 {
 }
 
@@ -57,7 +57,7 @@
     m_newest = std::max(m_newest, version);
     m_behind_since = m_behind_since.value_or(now);
     auto const reads_itself = age(now) < recent_read;
-    if (m_fetching || (reads_itself && now - *m_behind_since < read_takes))
+    if (m_fetching || (reads_itself && now - *m_behind_since < usual_read_time))
     {
         return false;
     }
@@ -70,11 +70,11 @@
     m_fetching = false;
     if (it == fetch_end::received)
     {
-        m_fetch_timeout = least_fetch_patience;
+        m_fetch_timeout = min_fetch_timeout;
     }
     if (it == fetch_end::failed)
     {
-        m_fetch_timeout = std::min(2 * m_fetch_timeout, most_fetch_patience);
+        m_fetch_timeout = std::min(2 * m_fetch_timeout, max_fetch_timeout);
     }
 }
 
@@ -93,7 +93,7 @@
 
 base::duration configuration_spread::age(base::instant now) const
 {
-    return m_confirmed_at ? now - *m_confirmed_at : unconfirmed;
+    return m_confirmed_at ? now - *m_confirmed_at : unconfirmed_age;
 }
 
 } // namespace berylhill::cell
--- a/libraries/cell/hold_list.hpp
+++ b/libraries/cell/hold_list.hpp
@@ -29,7 +29,7 @@
         /// No request may be sent now.
         not_callable,
         /// The instance is unknown and is removed from the list.
-        gone,
+        unknown,
     };
 
     using standing_function = std::function<standing(std::string const& id)>;
@@ -37,8 +37,8 @@
     /// Adds an instance; does nothing if it is known.
     void add(std::string const& id);
 
-    /// Returns at most `most` instances whose request is due, and marks their
-    /// requests as sent. `stored` is the number of batches stored so far.
+    /// Returns at most `max_count` instances whose request is due, and marks
+    /// their requests as sent. `stored` is the number of batches stored so far.
     /// Removes instances that are gone.
     ///
     /// The limit is for a new owner, which has to ask all instances: while it
@@ -47,8 +47,8 @@
     [[nodiscard]] std::vector<std::string>
     take_due(base::instant now,
              std::uint64_t stored,
-             std::size_t most,
-             standing_function const& standing_of);
+             std::size_t max_count,
+             standing_function const& status_of);
 
     /// The instance reported. `batch` is the batch that holds the ended
     /// attempts in its report, 0 if there were none. The next request is due
@@ -67,7 +67,7 @@
     void wake(std::string const& id);
 
 private:
-    std::map<std::string, hold_turn> m_turns;
+    std::map<std::string, hold_turn> m_schedules;
     /// Instances without a request in flight.
     std::set<std::string> m_idle;
 };
--- a/libraries/cell/hold_turn.cpp
+++ b/libraries/cell/hold_turn.cpp
@@ -13,21 +13,21 @@
 
 bool hold_turn::due(base::instant now, std::uint64_t stored) const
 {
-    return !m_asking && now >= m_next && m_batch <= stored;
+    return !m_request_in_flight && now >= m_next && m_batch <= stored;
 }
 
 void hold_turn::reported(base::instant now,
                          std::uint64_t batch,
                          base::duration rest)
 {
-    m_asking = false;
+    m_request_in_flight = false;
     m_batch = batch;
     m_next = now + rest;
 }
 
 void hold_turn::failed(base::instant now)
 {
-    m_asking = false;
+    m_request_in_flight = false;
     m_next = now + retry_pause;
 }
 
--- a/libraries/cell/hold_turn.hpp
+++ b/libraries/cell/hold_turn.hpp
@@ -19,14 +19,14 @@
     /// `stored` is the number of batches stored so far.
     [[nodiscard]] bool due(base::instant now, std::uint64_t stored) const;
 
-    [[nodiscard]] bool asking() const noexcept
+    [[nodiscard]] bool request_in_flight() const noexcept
     {
-        return m_asking;
+        return m_request_in_flight;
     }
 
-    void asked() noexcept
+    void request_sent() noexcept
     {
-        m_asking = true;
+        m_request_in_flight = true;
     }
 
     /// The instance reported. `batch` is the batch that holds the ended
@@ -46,7 +46,7 @@
     }
 
 private:
-    bool m_asking{false};
+    bool m_request_in_flight{false};
     std::uint64_t m_batch{0};
     base::instant m_next{};
 };
--- a/libraries/cell/log_follower.cpp
+++ b/libraries/cell/log_follower.cpp
@@ -15,23 +15,23 @@
 /// Time to the first byte of a page of the newest records, doubled after each
 /// timeout up to the limit. A silent connection costs only the first timeout.
 constexpr base::duration page_timeout = std::chrono::milliseconds{1'000};
-constexpr base::duration page_timeout_limit = std::chrono::milliseconds{4'000};
+constexpr base::duration max_page_timeout = std::chrono::milliseconds{4'000};
 
 /// A page that makes no progress for this long is on a silent connection.
-constexpr base::duration page_stall = std::chrono::seconds{1};
+constexpr base::duration page_stall_timeout = std::chrono::seconds{1};
 
 /// Time to the first byte of an answer while catching up, doubled after each
 /// timeout.
-constexpr base::duration least_catch_up_limit = std::chrono::milliseconds{400};
+constexpr base::duration min_catch_up_limit = std::chrono::milliseconds{400};
 
 /// If an answer was in transit for longer than this, the next read does not
 /// wait at the store: until it returns nobody can tell whether the records are
 /// the newest.
-constexpr base::duration longest_as_of = std::chrono::milliseconds{500};
+constexpr base::duration max_as_of_age = std::chrono::milliseconds{500};
 
 /// Largest size limit of a read. A larger record is read with the newest
 /// records.
-constexpr std::size_t largest_read = std::size_t{4} * 1024 * 1024;
+constexpr std::size_t max_read_bytes = std::size_t{4} * 1024 * 1024;
 
 } // namespace
 
@@ -44,12 +44,12 @@
     , m_clock{clock}
     , m_log{log}
     , m_name{std::move(name)}
-    , m_pace{pace}
+    , m_options{pace}
     , m_timer{loop}
     , m_read{loop, clock, log, m_name, pace.slack}
-    , m_most_bytes{pace.most_bytes}
+    , m_max_bytes{pace.max_bytes}
     , m_page_timeout{page_timeout}
-    , m_catch_up_limit{least_catch_up_limit}
+    , m_catch_up_limit{min_catch_up_limit}
 {
 }
 
@@ -99,7 +99,7 @@
 {
     m_asked_at = m_clock.now();
     m_log.read_newest(
-        after, {m_page_timeout, page_stall},
+        after, {m_page_timeout, page_stall_timeout},
         [this, alive = m_generation, mine = *m_generation](newest_result it)
         {
             if (*alive == mine)
@@ -114,8 +114,8 @@
     if (!it.answered)
     {
         failed("newest", 0, it.bytes_received);
-        m_page_timeout = std::min(2 * m_page_timeout, page_timeout_limit);
-        after(m_pace.retry, [this] { start(); });
+        m_page_timeout = std::min(2 * m_page_timeout, max_page_timeout);
+        run_after(m_options.retry, [this] { start(); });
         return;
     }
     if (m_first_page)
@@ -164,7 +164,7 @@
 void log_follower::read_tail(base::duration wait, base::duration limit)
 {
     m_asked_at = m_clock.now();
-    m_read.begin({m_next, wait, m_most_bytes, limit},
+    m_read.begin({m_next, wait, m_max_bytes, limit},
                  [this](reliable_read_result it) { tail_read(std::move(it)); });
 }
 
@@ -177,8 +177,8 @@
     ++*m_generation;
     m_timer.cancel();
     m_next = offset;
-    m_most_bytes = m_pace.most_bytes;
-    read_tail(m_pace.wait);
+    m_max_bytes = m_options.max_bytes;
+    read_tail(m_options.wait);
 }
 
 void log_follower::tail_read(reliable_read_result it)
@@ -199,7 +199,7 @@
     if (result.outcome != read_end::read)
     {
         failed("read", result.http_status, result.bytes_received);
-        after(m_pace.retry, [this] { read_tail(m_pace.wait); });
+        run_after(m_options.retry, [this] { read_tail(m_options.wait); });
         if (done)
         {
             m_catch_up_limit =
@@ -208,7 +208,7 @@
         }
         return;
     }
-    m_catch_up_limit = least_catch_up_limit;
+    m_catch_up_limit = min_catch_up_limit;
     auto const before = m_next;
     for (auto const& entry : result.entries)
     {
@@ -239,17 +239,17 @@
         read_larger();
         return;
     }
-    m_most_bytes = m_pace.most_bytes;
+    m_max_bytes = m_options.max_bytes;
     if (behind && done)
     {
         m_catching_up = std::move(done);
         read_tail(base::duration{0}, m_catch_up_limit);
         return;
     }
-    auto const stale = m_clock.now() - it.as_of > longest_as_of;
-    auto const wait = behind || stale ? base::duration{0} : m_pace.wait;
-    auto const pause = behind ? base::duration{0} : m_pace.pause;
-    after(pause, [this, wait] { read_tail(wait); });
+    auto const stale = m_clock.now() - it.as_of > max_as_of_age;
+    auto const wait = behind || stale ? base::duration{0} : m_options.wait;
+    auto const pause = behind ? base::duration{0} : m_options.pause;
+    run_after(pause, [this, wait] { read_tail(wait); });
     if (done)
     {
         done(!behind);
@@ -260,18 +260,18 @@
 /// larger than the size limit.
 void log_follower::read_larger()
 {
-    if (m_most_bytes >= largest_read)
+    if (m_max_bytes >= max_read_bytes)
     {
-        m_most_bytes = m_pace.most_bytes;
+        m_max_bytes = m_options.max_bytes;
         auto const done = std::exchange(m_catching_up, nullptr);
-        after(m_pace.retry, [this] { start(); });
+        run_after(m_options.retry, [this] { start(); });
         if (done)
         {
             done(false);
         }
         return;
     }
-    m_most_bytes *= 2;
+    m_max_bytes *= 2;
     read_tail(base::duration{0});
 }
 
@@ -283,23 +283,23 @@
     }
 }
 
-void log_follower::after(base::duration pause, std::function<void()> what)
+void log_follower::run_after(base::duration pause, std::function<void()> task)
 {
     m_timer.expires_after(pause);
     m_timer.async_wait(
         [alive = m_generation, mine = *m_generation,
-         what = std::move(what)](auto ec)
+         task = std::move(task)](auto ec)
         {
             if (!ec && *alive == mine)
             {
-                what();
+                task();
             }
         });
 }
 
 /// Logs the first, second, fourth etc. consecutive failure, so that a long
 /// outage is reported repeatedly in few lines.
-void log_follower::failed(char const* what,
+void log_follower::failed(char const* operation,
                           unsigned status,
                           std::uint64_t received)
 {
@@ -307,7 +307,7 @@
     {
         base::log(base::log_level::warning, "log_lost",
                   {{"log", m_name},
-                   {"call", what},
+                   {"call", operation},
                    {"status", std::uint64_t{status}},
                    {"next", m_next},
                    {"failures", m_failures},
--- a/libraries/cell/log_follower.hpp
+++ b/libraries/cell/log_follower.hpp
@@ -30,7 +30,7 @@
     base::duration retry{std::chrono::milliseconds{150}};
     /// Size limit of one read, except for a single larger record. A backlog is
     /// read in parts, so that other work on the event loop gets its turn.
-    std::size_t most_bytes{std::size_t{128} * 1024};
+    std::size_t max_bytes{std::size_t{128} * 1024};
 };
 
 /// Follows the newest record of each key of a log: reads all of them once and
@@ -127,8 +127,8 @@
     void tail_read(reliable_read_result it);
     void read_larger();
     void end_reached(base::instant as_of);
-    void after(base::duration pause, std::function<void()> what);
-    void failed(char const* what, unsigned status, std::uint64_t received);
+    void run_after(base::duration pause, std::function<void()> task);
+    void failed(char const* operation, unsigned status, std::uint64_t received);
     void succeeded();
     void apply(log_entry const& it);
 
@@ -136,7 +136,7 @@
     base::clock const& m_clock;
     keyed_log& m_log;
     std::string m_name;
-    follow_options m_pace;
+    follow_options m_options;
     boost::asio::steady_timer m_timer;
     reliable_read m_read;
     change_handler m_on_change;
@@ -149,7 +149,7 @@
         std::make_shared<std::uint64_t>(0)};
     std::uint64_t m_next{0};
     /// Size limit of the next read.
-    std::size_t m_most_bytes;
+    std::size_t m_max_bytes;
     bool m_running{false};
     bool m_ready{false};
     /// Consecutive failed reads.
--- a/libraries/cell/loop_lag.cpp
+++ b/libraries/cell/loop_lag.cpp
@@ -9,15 +9,15 @@
 {
 
 /// Between two measurements.
-constexpr base::duration pause = std::chrono::milliseconds{40};
+constexpr base::duration measuring_interval = std::chrono::milliseconds{40};
 
 /// Upper limit of one measurement: a single pause of the whole machine is over
 /// when it is measured.
-constexpr base::duration longest_counted = std::chrono::milliseconds{800};
+constexpr base::duration max_measurement = std::chrono::milliseconds{800};
 
 /// Time constant of the average. Measurements are weighted by the time that
 /// they cover; otherwise a late loop would be noticed late.
-constexpr base::duration window = std::chrono::milliseconds{600};
+constexpr base::duration averaging_time = std::chrono::milliseconds{600};
 
 } // namespace
 
@@ -35,8 +35,8 @@
 
 void loop_lag::measure()
 {
-    auto const due = m_clock.now() + pause;
-    m_timer.expires_after(pause);
+    auto const due = m_clock.now() + measuring_interval;
+    m_timer.expires_after(measuring_interval);
     m_timer.async_wait(
         [this, due](auto ec)
         {
@@ -45,9 +45,11 @@
                 return;
             }
             auto const late = std::clamp(m_clock.now() - due, base::duration{0},
-                                         longest_counted);
-            auto const took = std::min(pause + late, window);
-            m_average += (late - m_average) * took.count() / window.count();
+                                         max_measurement);
+            auto const took =
+                std::min(measuring_interval + late, averaging_time);
+            m_average +=
+                (late - m_average) * took.count() / averaging_time.count();
             measure();
         });
 }
--- a/libraries/cell/node.hpp
+++ b/libraries/cell/node.hpp
@@ -46,15 +46,16 @@
                std::uint64_t next) override;
     void ended() override;
     [[nodiscard]] configuration_age configuration_here() const override;
-    void heard_of(configuration_age const& it,
-                  base::instant asked_at,
-                  network::socket_address const& from) override;
+    void
+    on_configuration_reported(configuration_age const& it,
+                              base::instant asked_at,
+                              network::socket_address const& from) override;
 
     // peer_service::backend
     [[nodiscard]] watch_answer view() const override;
-    void heard_of(owner_view const& it) override;
-    void heard_of(std::int64_t version,
-                  network::socket_address const& from) override;
+    void on_owner_reported(owner_view const& it) override;
+    void on_version_reported(std::int64_t version,
+                             network::socket_address const& from) override;
     [[nodiscard]] configuration_record configuration() const override;
     [[nodiscard]] std::optional<std::string>
     compressed_configuration() override;
--- a/libraries/cell/node_answers.cpp
+++ b/libraries/cell/node_answers.cpp
@@ -72,9 +72,9 @@
     return out;
 }
 
-void node::heard_of(owner_view const& it)
+void node::on_owner_reported(owner_view const& it)
 {
-    m_ownership.heard_of(it);
+    m_ownership.on_owner_reported(it);
 }
 
 bool node::owns() const
--- a/libraries/cell/node_configuration.cpp
+++ b/libraries/cell/node_configuration.cpp
@@ -109,9 +109,9 @@
     return m_compressed_configuration;
 }
 
-void node::heard_of(configuration_age const& it,
-                    base::instant asked_at,
-                    network::socket_address const& from)
+void node::on_configuration_reported(configuration_age const& it,
+                                     base::instant asked_at,
+                                     network::socket_address const& from)
 {
     auto const known = m_propagation.newest();
     auto const fetches = m_propagation.on_version_heard(
@@ -123,7 +123,8 @@
     }
 }
 
-void node::heard_of(std::int64_t version, network::socket_address const& from)
+void node::on_version_reported(std::int64_t version,
+                               network::socket_address const& from)
 {
     auto const known = m_propagation.newest();
     auto const fetches = m_propagation.on_version_heard(
--- a/libraries/cell/owner_lookup.cpp
+++ b/libraries/cell/owner_lookup.cpp
@@ -14,11 +14,11 @@
 
 /// Time to the first byte of an answer: one record and its round trip, twice.
 /// Doubled after each timeout up to the limit.
-constexpr base::duration look_timeout = std::chrono::milliseconds{400};
-constexpr base::duration look_timeout_limit = std::chrono::milliseconds{1'600};
+constexpr base::duration lookup_timeout = std::chrono::milliseconds{400};
+constexpr base::duration max_lookup_timeout = std::chrono::milliseconds{1'600};
 
 /// An answer that makes no progress for this long is on a silent connection.
-constexpr base::duration look_stall = std::chrono::milliseconds{400};
+constexpr base::duration lookup_stall_timeout = std::chrono::milliseconds{400};
 
 } // namespace
 
@@ -36,7 +36,7 @@
 
 owner_lookup::owner_lookup(keyed_log& cell)
     : m_cell{cell}
-    , m_patience{look_timeout}
+    , m_timeout{lookup_timeout}
 {
 }
 
@@ -45,7 +45,7 @@
     ++*m_generation;
 }
 
-void owner_lookup::look(handler done)
+void owner_lookup::find(handler done)
 {
     ++*m_generation;
     read_after(before_owner_key, std::move(done));
@@ -53,7 +53,7 @@
 
 void owner_lookup::read_after(std::string const& key, handler done)
 {
-    m_cell.read_newest(key, {m_patience, look_stall},
+    m_cell.read_newest(key, {m_timeout, lookup_stall_timeout},
                        [this, alive = m_generation, mine = *m_generation,
                         done = std::move(done)](newest_result const& it)
                        {
@@ -63,12 +63,12 @@
                            }
                            if (!it.answered)
                            {
-                               m_patience =
-                                   std::min(2 * m_patience, look_timeout_limit);
+                               m_timeout =
+                                   std::min(2 * m_timeout, max_lookup_timeout);
                                done(std::nullopt);
                                return;
                            }
-                           m_patience = look_timeout;
+                           m_timeout = lookup_timeout;
                            auto const at = std::ranges::find(
                                it.entries, owner_key, &log_entry::key);
                            if (at != it.entries.end())
--- a/libraries/cell/owner_lookup.hpp
+++ b/libraries/cell/owner_lookup.hpp
@@ -44,14 +44,14 @@
 
     /// `done` is called once, never from within this call; it is not called if
     /// another lookup starts or this object is destroyed first.
-    void look(handler done);
+    void find(handler done);
 
 private:
     void read_after(std::string const& key, handler done);
 
     keyed_log& m_cell;
     /// Timeout of the next lookup.
-    base::duration m_patience;
+    base::duration m_timeout;
     std::shared_ptr<std::uint64_t> m_generation{
         std::make_shared<std::uint64_t>(0)};
 };
--- a/libraries/cell/ownership.cpp
+++ b/libraries/cell/ownership.cpp
@@ -67,7 +67,7 @@
     ++*m_generation;
     m_state = ownership_state::starting;
     m_heard = false;
-    m_lookup.look(
+    m_lookup.find(
         [this, mine = *m_generation](std::optional<owner_view> const& it)
         {
             if (*m_generation != mine)
@@ -76,7 +76,7 @@
             }
             if (!it)
             {
-                again(find_retry, [this] { find_owner(); });
+                run_after(find_retry, [this] { find_owner(); });
                 return;
             }
             owner_found(*it);
@@ -119,7 +119,7 @@
     watch(base::duration{0});
 }
 
-void ownership::heard_of(owner_view const& it)
+void ownership::on_owner_reported(owner_view const& it)
 {
     if (it.token <= m_owner.token)
     {
@@ -150,7 +150,7 @@
     m_state = ownership_state::watching;
     m_heard = false;
     // A successor's announcement ends the pause.
-    again(rest, [this] { find_owner(); });
+    run_after(rest, [this] { find_owner(); });
 }
 
 void ownership::leave()
@@ -164,16 +164,16 @@
     find_owner();
 }
 
-void ownership::again(base::duration pause, std::function<void()> what)
+void ownership::run_after(base::duration pause, std::function<void()> task)
 {
     m_timer.expires_after(pause);
     m_timer.async_wait(
         [alive = m_generation, mine = *m_generation,
-         what = std::move(what)](auto ec)
+         task = std::move(task)](auto ec)
         {
             if (!ec && *alive == mine)
             {
-                what();
+                task();
             }
         });
 }
--- a/libraries/cell/ownership.hpp
+++ b/libraries/cell/ownership.hpp
@@ -82,9 +82,10 @@
 
         /// The process at `from` reported this configuration in the answer to a
         /// request that was sent at `asked_at`.
-        virtual void heard_of(configuration_age const& it,
-                              base::instant asked_at,
-                              network::socket_address const& from) = 0;
+        virtual void
+        on_configuration_reported(configuration_age const& it,
+                                  base::instant asked_at,
+                                  network::socket_address const& from) = 0;
     };
 
     ownership(boost::asio::io_context& loop,
@@ -105,7 +106,7 @@
     void lose_ownership(char const* why);
 
     /// Another process reported an owner.
-    void heard_of(owner_view const& it);
+    void on_owner_reported(owner_view const& it);
 
     /// Ownership was released for another process to take; this process does
     /// not claim it for `rest`. Precondition: it was the owner.
@@ -161,7 +162,7 @@
     void claimed(reliable_append_outcome it,
                  owner_view const& mine,
                  std::uint64_t at);
-    void again(base::duration pause, std::function<void()> what);
+    void run_after(base::duration pause, std::function<void()> task);
     [[nodiscard]] std::int64_t succession_rank() const;
     [[nodiscard]] base::duration watch_interval() const;
     [[nodiscard]] base::duration claim_delay() const;
--- a/libraries/cell/ownership_claim.cpp
+++ b/libraries/cell/ownership_claim.cpp
@@ -71,7 +71,7 @@
 {
     if (m_leaving)
     {
-        again(claim_retry, [this] { find_owner(); });
+        run_after(claim_retry, [this] { find_owner(); });
         return;
     }
     ++*m_generation;
@@ -80,16 +80,16 @@
     // turn comes: dozens that read it at once would delay the first one to
     // claim. Nothing is logged before, because a new owner may appear during
     // the wait.
-    again(claim_delay(),
-          [this, why]
-          {
-              base::log(base::log_level::info, "claim_begins",
-                        {{"why", why},
-                         {"former", m_owner.instance},
-                         {"former_token", m_owner.token}});
-              m_claim_began = m_clock.now();
-              look_before_claim();
-          });
+    run_after(claim_delay(),
+              [this, why]
+              {
+                  base::log(base::log_level::info, "claim_begins",
+                            {{"why", why},
+                             {"former", m_owner.instance},
+                             {"former_token", m_owner.token}});
+                  m_claim_began = m_clock.now();
+                  look_before_claim();
+              });
 }
 
 /// Another process may have claimed while this one waited. A process that does
@@ -102,7 +102,7 @@
         claim_now();
         return;
     }
-    m_lookup.look(
+    m_lookup.find(
         [this, mine = *m_generation](std::optional<owner_view> const& it)
         {
             if (*m_generation != mine)
@@ -128,7 +128,7 @@
             probe_owner_again();
             return;
         }
-        again(claim_step, [this] { claim_now(); });
+        run_after(claim_step, [this] { claim_now(); });
         return;
     }
     m_follower.catch_up(
@@ -141,13 +141,13 @@
             }
             if (!up_to_date)
             {
-                again(claim_retry, [this] { probe_owner_again(); });
+                run_after(claim_retry, [this] { probe_owner_again(); });
                 return;
             }
             if (m_append.busy())
             {
                 // The outcome of an earlier claim is still being resolved.
-                again(claim_retry, [this] { claim_now(); });
+                run_after(claim_retry, [this] { claim_now(); });
                 return;
             }
             auto const at = m_follower.next_offset();
--- a/libraries/cell/ownership_watch.cpp
+++ b/libraries/cell/ownership_watch.cpp
@@ -91,7 +91,8 @@
         return;
     }
     auto const& answer = *it.answer;
-    m_listener.heard_of(answer.configuration, asked_at, m_owner.address);
+    m_listener.on_configuration_reported(answer.configuration, asked_at,
+                                         m_owner.address);
     if (!answer.owns || answer.owner.incarnation != m_owner.incarnation)
     {
         if (answer.owner.token > m_owner.token)
@@ -197,8 +198,8 @@
                 }
                 if (result.answer)
                 {
-                    m_listener.heard_of(result.answer->configuration, asked_at,
-                                        from);
+                    m_listener.on_configuration_reported(
+                        result.answer->configuration, asked_at, from);
                     m_others_answer = true;
                     if (result.answer->owner.token > m_owner.token)
                     {
@@ -228,7 +229,7 @@
         claim("owner_lost");
         return;
     }
-    again(suspect_pause, [this] { probe_owner_again(); });
+    run_after(suspect_pause, [this] { probe_owner_again(); });
 }
 
 base::duration ownership::probe_limit() const
@@ -248,7 +249,7 @@
         claim("owner_and_others_lost");
         return;
     }
-    again(suspect_pause, [this] { probe_owner_again(); });
+    run_after(suspect_pause, [this] { probe_owner_again(); });
 }
 
 /// Asks the owner once more; without an answer it is considered lost at once.
--- a/libraries/cell/peer_client.cpp
+++ b/libraries/cell/peer_client.cpp
@@ -26,12 +26,12 @@
 constexpr base::duration announce_timeout = std::chrono::milliseconds{500};
 
 /// Size limit of a decompressed configuration.
-constexpr std::size_t largest_configuration = std::size_t{16} * 1024 * 1024;
+constexpr std::size_t max_configuration_bytes = std::size_t{16} * 1024 * 1024;
 
 base::result<configuration_record>
 parse_packed_configuration(std::string_view body)
 {
-    BOOST_LEAF_AUTO(text, decompressed(body, largest_configuration));
+    BOOST_LEAF_AUTO(text, decompressed(body, max_configuration_bytes));
     return parse_configuration(text);
 }
 
--- a/libraries/cell/peer_list.cpp
+++ b/libraries/cell/peer_list.cpp
@@ -14,11 +14,11 @@
 /// Size limit of the list sent to processes that are not standbys. Losing more
 /// processes together with the owner and its standbys takes a power failure,
 /// after which the list is useless.
-constexpr std::size_t most_named = 64;
+constexpr std::size_t max_listed_peers = 64;
 
-constexpr base::duration least_wait = std::chrono::milliseconds{250};
-constexpr base::duration longest_wait = std::chrono::milliseconds{1'000};
-constexpr base::duration wait_for_each = std::chrono::microseconds{2'500};
+constexpr base::duration min_wait = std::chrono::milliseconds{250};
+constexpr base::duration max_wait = std::chrono::milliseconds{1'000};
+constexpr base::duration wait_per_watcher = std::chrono::microseconds{2'500};
 
 /// Keeps the digest exactly representable as a JSON number.
 constexpr std::uint64_t digest_mask = (std::uint64_t{1} << 52U) - 1;
@@ -42,9 +42,9 @@
 
 base::duration watch_wait(std::size_t watchers)
 {
-    return std::clamp<base::duration>(wait_for_each *
+    return std::clamp<base::duration>(wait_per_watcher *
                                           static_cast<std::int64_t>(watchers),
-                                      least_wait, longest_wait);
+                                      min_wait, max_wait);
 }
 
 void peer_list::set(std::vector<peer> all)
@@ -55,8 +55,8 @@
         return;
     }
     m_first = digested(
-        {all.begin(), all.begin() + static_cast<std::ptrdiff_t>(
-                                        std::min(all.size(), most_named))});
+        {all.begin(), all.begin() + static_cast<std::ptrdiff_t>(std::min(
+                                        all.size(), max_listed_peers))});
     m_whole = digested(std::move(all));
 }
 
--- a/libraries/cell/peer_service.cpp
+++ b/libraries/cell/peer_service.cpp
@@ -20,7 +20,7 @@
 
 /// A process that has not asked for this long, the time of several watches, is
 /// not considered live.
-constexpr base::duration watcher_kept = std::chrono::milliseconds{1'200};
+constexpr base::duration watcher_retention = std::chrono::milliseconds{1'200};
 
 /// How often the list of watchers is updated.
 constexpr base::duration list_pause = std::chrono::milliseconds{250};
@@ -29,7 +29,7 @@
 constexpr base::duration tick = std::chrono::milliseconds{25};
 
 /// Upper limit of the time that a watch is kept open.
-constexpr base::duration longest_watch = std::chrono::seconds{2};
+constexpr base::duration max_watch_wait = std::chrono::seconds{2};
 
 base::duration wait_in(std::string_view target)
 {
@@ -47,7 +47,7 @@
     {
         return base::duration{0};
     }
-    return std::min(longest_watch, base::duration{out});
+    return std::min(max_watch_wait, base::duration{out});
 }
 
 void refuse(network::responder const& answer, base::failure const& why)
@@ -120,8 +120,8 @@
     }
     auto const now = m_clock.now();
     m_seen[from.value().from] = now;
-    m_backend.heard_of(from.value().configuration.version,
-                       from.value().from.address);
+    m_backend.on_version_reported(from.value().configuration.version,
+                                  from.value().from.address);
     auto const wait = wait_in(it.target);
     if (wait.count() == 0 || !m_backend.owns())
     {
@@ -200,7 +200,7 @@
         return;
     }
     answer({status_ok, {}, "{}"});
-    m_backend.heard_of(read.value());
+    m_backend.on_owner_reported(read.value());
 }
 
 network::http_response peer_service::watch_response(watch_question const& to)
@@ -234,7 +234,7 @@
 /// live.
 base::duration peer_service::watcher_lifetime() const
 {
-    return watcher_kept + watch_wait(m_seen.size()) - watch_wait(0);
+    return watcher_retention + watch_wait(m_seen.size()) - watch_wait(0);
 }
 
 void peer_service::wake()
@@ -279,7 +279,7 @@
                 it.answer(watch_response(it.from));
             }
             std::erase_if(m_seen, [&](auto const& it)
-                          { return now - it.second > 10 * watcher_kept; });
+                          { return now - it.second > 10 * watcher_retention; });
             every_tick();
         });
 }
--- a/libraries/cell/peer_service.hpp
+++ b/libraries/cell/peer_service.hpp
@@ -35,10 +35,11 @@
         virtual ~backend() = default;
 
         [[nodiscard]] virtual watch_answer view() const = 0;
-        virtual void heard_of(owner_view const& it) = 0;
+        virtual void on_owner_reported(owner_view const& it) = 0;
         /// The process at `from` reported this version of the configuration.
-        virtual void heard_of(std::int64_t version,
-                              network::socket_address const& from) = 0;
+        virtual void
+        on_version_reported(std::int64_t version,
+                            network::socket_address const& from) = 0;
         [[nodiscard]] virtual configuration_record configuration() const = 0;
         /// The configuration, compressed; nothing while other copies use up the
         /// bandwidth reserved for them.
--- a/libraries/cell/reliable_append.cpp
+++ b/libraries/cell/reliable_append.cpp
@@ -15,15 +15,15 @@
 /// Lower limit of the retry timeout, the least that a lost answer costs; an
 /// append usually takes 4 to 6 ms. With two answers in five lost, a scenario
 /// day scored 0.598 with 100 ms and 0.640 with this value, mean of 12 runs.
-constexpr base::duration least_patience = std::chrono::milliseconds{40};
+constexpr base::duration min_retry_timeout = std::chrono::milliseconds{40};
 
 /// Upper limit of the retry timeout: a store that was silent is tried again
 /// this soon after it recovers.
-constexpr base::duration most_patience = std::chrono::milliseconds{800};
+constexpr base::duration max_retry_timeout = std::chrono::milliseconds{800};
 
 /// Ratio of the retry timeout to the mean latency, which a store seldom
 /// exceeds.
-constexpr int patience_factor = 8;
+constexpr int retry_timeout_factor = 8;
 
 /// Timeout of an attempt; up to seven are awaited at a time. A store whose
 /// appends take 240 ms is not silent: when each attempt was abandoned as the
@@ -37,29 +37,31 @@
 /// Pause after a refusal, doubled each time up to the limit: the store counts
 /// and bills refused calls.
 constexpr base::duration first_pause = std::chrono::milliseconds{40};
-constexpr base::duration longest_pause = std::chrono::milliseconds{400};
+constexpr base::duration max_pause = std::chrono::milliseconds{400};
 
 /// Pause between an append without an answer and the next attempt, doubled each
 /// time up to the limit; time spent waiting for the answer counts.
 constexpr base::duration first_repeat_pause = std::chrono::milliseconds{5};
-constexpr base::duration longest_repeat_pause = std::chrono::milliseconds{100};
+constexpr base::duration max_repeat_pause = std::chrono::milliseconds{100};
 
 /// Size limit of the read that checks the records at an offset: above the
 /// largest batch, all records of which are compared.
-constexpr std::size_t look_bytes = std::size_t{1024} * 1024;
+constexpr std::size_t read_back_bytes = std::size_t{1024} * 1024;
 
 /// Time to the first byte of that read, doubled after each timeout up to the
 /// limit.
-constexpr base::duration look_timeout = std::chrono::milliseconds{500};
-constexpr base::duration look_timeout_limit = std::chrono::milliseconds{2'000};
+constexpr base::duration read_back_timeout = std::chrono::milliseconds{500};
+constexpr base::duration max_read_back_timeout =
+    std::chrono::milliseconds{2'000};
 
 /// A read that makes no progress for this long is on a silent connection.
-constexpr base::duration look_stall = std::chrono::milliseconds{500};
+constexpr base::duration read_back_stall_timeout =
+    std::chrono::milliseconds{500};
 
 /// Limits of `stuck_limit`: above the time of the first slow append of a store
 /// that was fast, and below the timeouts of clients.
-constexpr base::duration least_stuck_limit = std::chrono::milliseconds{900};
-constexpr base::duration most_stuck_limit = std::chrono::milliseconds{1'600};
+constexpr base::duration min_stuck_limit = std::chrono::milliseconds{900};
+constexpr base::duration max_stuck_limit = std::chrono::milliseconds{1'600};
 constexpr int stuck_factor = 3;
 
 /// Appends that take longer are logged, because whatever waited for them is
@@ -78,8 +80,8 @@
 
 base::duration doubled(base::duration it, std::uint32_t times)
 {
-    constexpr std::uint32_t most = 10;
-    return it * (1U << std::min(times, most));
+    constexpr std::uint32_t max_doublings = 10;
+    return it * (1U << std::min(times, max_doublings));
 }
 
 } // namespace
@@ -89,16 +91,17 @@
     m_mean += (it - m_mean) / mean_weight;
 }
 
-base::duration store_latency::patience(std::uint32_t tries) const
+base::duration store_latency::retry_timeout(std::uint32_t tries) const
 {
-    auto const first = std::max(least_patience, m_mean * patience_factor);
-    return std::min(most_patience, doubled(first, tries));
+    auto const first =
+        std::max(min_retry_timeout, m_mean * retry_timeout_factor);
+    return std::min(max_retry_timeout, doubled(first, tries));
 }
 
 base::duration store_latency::stuck_limit() const
 {
-    return std::clamp<base::duration>(stuck_factor * m_mean, least_stuck_limit,
-                                      most_stuck_limit);
+    return std::clamp<base::duration>(stuck_factor * m_mean, min_stuck_limit,
+                                      max_stuck_limit);
 }
 
 reliable_append::reliable_append(boost::asio::io_context& loop,
@@ -125,14 +128,14 @@
     ++*m_generation;
     m_busy = true;
     m_awaiting = 0;
-    m_looking = false;
+    m_reading_back = false;
     m_at = at;
     m_records = std::move(records);
     m_limit = limit;
     m_began = m_clock.now();
     m_tries = 0;
     m_refusals = 0;
-    m_looks = 0;
+    m_read_backs = 0;
     m_maybe_stored = false;
     m_done = std::move(done);
     send();
@@ -152,21 +155,21 @@
     return true;
 }
 
-bool reliable_append::over() const
+bool reliable_append::limit_exceeded() const
 {
     return m_limit.count() != 0 && m_clock.now() - m_began > m_limit;
 }
 
 void reliable_append::send()
 {
-    if (over())
+    if (limit_exceeded())
     {
         finish(reliable_append_outcome::unknown);
         return;
     }
     auto const sent_at = m_clock.now();
     ++m_awaiting;
-    again(m_latency.patience(m_tries), [this] { overdue(); });
+    run_after(m_latency.retry_timeout(m_tries), [this] { overdue(); });
     ++m_tries;
     m_log.append(m_at, m_records, answer_timeout,
                  [this, alive = m_generation, mine = *m_generation,
@@ -213,14 +216,14 @@
             finish(reliable_append_outcome::overtaken);
             return;
         }
-        if (!std::exchange(m_looking, true))
+        if (!std::exchange(m_reading_back, true))
         {
-            look();
+            read_back();
         }
         return;
     case append_end::unanswered:
         m_maybe_stored = true;
-        if (m_awaiting == 0 && !m_looking)
+        if (m_awaiting == 0 && !m_reading_back)
         {
             repeat(sent_at);
         }
@@ -234,10 +237,10 @@
                       {{"at", m_at},
                        {"full", it.outcome == append_end::full ? 1 : 0}});
         }
-        if (m_awaiting == 0 && !m_looking)
+        if (m_awaiting == 0 && !m_reading_back)
         {
-            again(std::min(longest_pause, doubled(first_pause, m_tries - 1)),
-                  [this] { send(); });
+            run_after(std::min(max_pause, doubled(first_pause, m_tries - 1)),
+                      [this] { send(); });
         }
         return;
     }
@@ -248,27 +251,30 @@
 void reliable_append::repeat(base::instant sent_at)
 {
     auto const pause =
-        std::min(longest_repeat_pause, doubled(first_repeat_pause, m_tries));
+        std::min(max_repeat_pause, doubled(first_repeat_pause, m_tries));
     auto const took = m_clock.now() - sent_at;
-    again(std::max(base::duration{0}, pause - took), [this] { send(); });
+    run_after(std::max(base::duration{0}, pause - took), [this] { send(); });
 }
 
-void reliable_append::look()
+void reliable_append::read_back()
 {
-    auto const patience =
-        std::min(look_timeout_limit, doubled(look_timeout, m_looks++));
-    m_log.read({m_at, base::duration{0}, look_bytes, {patience, look_stall}},
+    auto const patience = std::min(max_read_back_timeout,
+                                   doubled(read_back_timeout, m_read_backs++));
+    m_log.read({m_at,
+                base::duration{0},
+                read_back_bytes,
+                {patience, read_back_stall_timeout}},
                [this, alive = m_generation,
                 mine = *m_generation](read_result const& it)
                {
                    if (*alive == mine)
                    {
-                       looked(it);
+                       read_back_done(it);
                    }
                });
 }
 
-void reliable_append::looked(read_result const& it)
+void reliable_append::read_back_done(read_result const& it)
 {
     if (it.outcome == read_end::trimmed)
     {
@@ -280,27 +286,27 @@
     }
     if (it.outcome != read_end::read)
     {
-        if (over())
+        if (limit_exceeded())
         {
             finish(reliable_append_outcome::unknown);
             return;
         }
-        again(first_pause, [this] { look(); });
+        run_after(first_pause, [this] { read_back(); });
         return;
     }
     if (it.entries.empty())
     {
-        m_looking = false;
-        again(first_pause, [this] { send(); });
+        m_reading_back = false;
+        run_after(first_pause, [this] { send(); });
         return;
     }
-    finish(stands_at(it) ? reliable_append_outcome::stored
-                         : reliable_append_outcome::overtaken);
+    finish(is_stored_at_offset(it) ? reliable_append_outcome::stored
+                                   : reliable_append_outcome::overtaken);
 }
 
 /// Compares all records, because a batch that was written again may begin like
 /// the one before.
-bool reliable_append::stands_at(read_result const& it) const
+bool reliable_append::is_stored_at_offset(read_result const& it) const
 {
     auto const n = std::min(it.entries.size(), m_records.size());
     for (std::size_t i = 0; i < n; ++i)
@@ -315,16 +321,17 @@
     return true;
 }
 
-void reliable_append::again(base::duration pause, std::function<void()> what)
+void reliable_append::run_after(base::duration pause,
+                                std::function<void()> task)
 {
     m_timer.expires_after(pause);
     m_timer.async_wait(
         [alive = m_generation, mine = *m_generation,
-         what = std::move(what)](auto ec)
+         task = std::move(task)](auto ec)
         {
             if (!ec && *alive == mine)
             {
-                what();
+                task();
             }
         });
 }
--- a/libraries/cell/reliable_append.hpp
+++ b/libraries/cell/reliable_append.hpp
@@ -23,7 +23,7 @@
 
     /// How long to wait for an answer before an append is sent again, after
     /// `tries` earlier attempts.
-    [[nodiscard]] base::duration patience(std::uint32_t tries) const;
+    [[nodiscard]] base::duration retry_timeout(std::uint32_t tries) const;
 
     /// How long an append may take until the store counts as blocked, when
     /// waiting and new work is refused. A merely slow store needs about the
@@ -89,15 +89,15 @@
 
 private:
     /// Whether the append has exceeded its limit.
-    [[nodiscard]] bool over() const;
+    [[nodiscard]] bool limit_exceeded() const;
     void send();
     void answered(append_result const& it, base::instant sent_at);
     void overdue();
     void repeat(base::instant sent_at);
-    void look();
-    void looked(read_result const& it);
-    [[nodiscard]] bool stands_at(read_result const& it) const;
-    void again(base::duration pause, std::function<void()> what);
+    void read_back();
+    void read_back_done(read_result const& it);
+    [[nodiscard]] bool is_stored_at_offset(read_result const& it) const;
+    void run_after(base::duration pause, std::function<void()> task);
     void finish(reliable_append_outcome it);
 
     base::clock const& m_clock;
@@ -113,13 +113,13 @@
     std::uint32_t m_tries{0};
     std::uint32_t m_refusals{0};
     /// Reads of the records at the offset so far.
-    std::uint32_t m_looks{0};
+    std::uint32_t m_read_backs{0};
     /// An attempt had no answer: it may be stored, now or later.
     bool m_maybe_stored{false};
     /// Attempts whose answer may still come.
     std::uint32_t m_awaiting{0};
     /// The records at the offset are being read.
-    bool m_looking{false};
+    bool m_reading_back{false};
     bool m_busy{false};
     handler m_done;
 };
--- a/libraries/cell/reliable_read.cpp
+++ b/libraries/cell/reliable_read.cpp
@@ -13,14 +13,14 @@
 {
 
 /// An answer that makes no progress for this long is on a silent connection.
-constexpr base::duration longest_stall = std::chrono::seconds{1};
+constexpr base::duration stall_timeout = std::chrono::seconds{1};
 
 /// Limit of concurrent requests: each may return the same large record.
-constexpr std::size_t most_questions = 4;
+constexpr std::size_t max_concurrent_requests = 4;
 
 /// After a slow answer the next one may take this much longer, in percent.
 constexpr std::int64_t slack_factor_percent = 150;
-constexpr base::duration most_slack = std::chrono::seconds{3};
+constexpr base::duration max_slack = std::chrono::seconds{3};
 
 } // namespace
 
@@ -32,7 +32,7 @@
     : m_clock{clock}
     , m_log{log}
     , m_name{std::move(name)}
-    , m_least_slack{slack}
+    , m_min_slack{slack}
     , m_slack{slack}
     , m_timer{loop}
 {
@@ -47,10 +47,10 @@
 {
     cancel();
     m_tries = 0;
-    m_goal = it;
+    m_request = it;
     m_until = m_clock.now() + it.wait + it.limit;
     m_done = std::move(done);
-    ask(it.wait);
+    send(it.wait);
 }
 
 void reliable_read::cancel()
@@ -58,7 +58,7 @@
     ++*m_generation;
     m_timer.cancel();
     m_awaiting = 0;
-    for (auto const& it : std::exchange(m_questions, {}))
+    for (auto const& it : std::exchange(m_calls, {}))
     {
         if (auto const call = it.lock())
         {
@@ -67,15 +67,15 @@
     }
 }
 
-void reliable_read::ask(base::duration wait)
+void reliable_read::send(base::duration wait)
 {
     auto const asked_at = m_clock.now();
-    network::call_patience patience{m_until - asked_at, longest_stall};
+    network::call_patience patience{m_until - asked_at, stall_timeout};
     patience.on_new_connection = m_tries > 0;
     ++m_tries;
     ++m_awaiting;
-    m_questions.push_back(
-        m_log.read({m_goal.from, wait, m_goal.most_bytes, patience},
+    m_calls.push_back(
+        m_log.read({m_request.from, wait, m_request.max_bytes, patience},
                    [this, alive = m_generation, mine = *m_generation, asked_at,
                     wait](read_result it)
                    {
@@ -84,10 +84,10 @@
                            answered(std::move(it), asked_at, wait);
                        }
                    }));
-    look_after(wait + m_slack * (1U << (m_tries - 1)));
+    check_after(wait + m_slack * (1U << (m_tries - 1)));
 }
 
-void reliable_read::look_after(base::duration pause)
+void reliable_read::check_after(base::duration pause)
 {
     m_timer.expires_after(pause);
     m_timer.async_wait(
@@ -100,9 +100,9 @@
         });
 }
 
-bool reliable_read::answer_comes() const
+bool reliable_read::answer_begun() const
 {
-    return std::ranges::any_of(m_questions,
+    return std::ranges::any_of(m_calls,
                                [](auto const& it)
                                {
                                    auto const call = it.lock();
@@ -114,21 +114,21 @@
 /// a second time over the same link.
 void reliable_read::overdue()
 {
-    if (m_awaiting >= most_questions || answer_comes() ||
-        m_clock.now() + m_least_slack >= m_until)
+    if (m_awaiting >= max_concurrent_requests || answer_begun() ||
+        m_clock.now() + m_min_slack >= m_until)
     {
-        look_after(m_slack);
+        check_after(m_slack);
         return;
     }
     if (std::has_single_bit(m_tries))
     {
         base::log(base::log_level::info, "read_overdue",
                   {{"log", m_name},
-                   {"from", m_goal.from},
+                   {"from", m_request.from},
                    {"tries", m_tries},
                    {"slack_s", base::seconds_of(m_slack)}});
     }
-    ask(base::duration{0});
+    send(base::duration{0});
 }
 
 void reliable_read::answered(read_result it,
@@ -144,7 +144,7 @@
     }
     if (!nothing)
     {
-        learn(m_clock.now() - asked_at - wait);
+        update_slack(m_clock.now() - asked_at - wait);
     }
     auto const idle = it.outcome == read_end::read && it.entries.empty();
     finish(std::move(it), idle ? asked_at + wait : asked_at);
@@ -152,11 +152,11 @@
 
 /// Adapts the slack to the response time, so that a constantly slow store does
 /// not get several requests for each read.
-void reliable_read::learn(base::duration took)
+void reliable_read::update_slack(base::duration took)
 {
     auto const wanted = took * slack_factor_percent / 100;
-    m_slack = std::clamp(std::max(wanted, m_slack / 2), m_least_slack,
-                         std::max(m_least_slack, most_slack));
+    m_slack = std::clamp(std::max(wanted, m_slack / 2), m_min_slack,
+                         std::max(m_min_slack, max_slack));
 }
 
 void reliable_read::finish(read_result it, base::instant as_of)
--- a/libraries/cell/reliable_read.hpp
+++ b/libraries/cell/reliable_read.hpp
@@ -26,7 +26,7 @@
     std::uint64_t from{0};
     /// How long the store may wait for a first record.
     base::duration wait{0};
-    std::size_t most_bytes{0};
+    std::size_t max_bytes{0};
     /// Time beyond `wait` after which the read is given up if no answer has
     /// begun.
     base::duration limit{max_response_delay};
@@ -74,30 +74,30 @@
     void cancel();
 
 private:
-    void ask(base::duration wait);
-    void look_after(base::duration pause);
-    [[nodiscard]] bool answer_comes() const;
+    void send(base::duration wait);
+    void check_after(base::duration pause);
+    [[nodiscard]] bool answer_begun() const;
     void overdue();
     void answered(read_result it, base::instant asked_at, base::duration wait);
     void finish(read_result it, base::instant as_of);
-    void learn(base::duration took);
+    void update_slack(base::duration took);
 
     base::clock const& m_clock;
     keyed_log& m_log;
     std::string m_name;
-    base::duration m_least_slack;
+    base::duration m_min_slack;
     base::duration m_slack;
     boost::asio::steady_timer m_timer;
     std::shared_ptr<std::uint64_t> m_generation{
         std::make_shared<std::uint64_t>(0)};
-    reliable_read_request m_goal;
+    reliable_read_request m_request;
     /// When the read is given up.
     base::instant m_until{};
     handler m_done;
     std::uint32_t m_tries{0};
     /// Requests whose answer may still come.
     std::size_t m_awaiting{0};
-    std::vector<network::call_handle> m_questions;
+    std::vector<network::call_handle> m_calls;
 };
 
 } // namespace berylhill::cell
--- a/libraries/cell/yield_rule.cpp
+++ b/libraries/cell/yield_rule.cpp
@@ -9,15 +9,15 @@
 {
 
 /// Time after which the other processes have found this owner.
-constexpr base::duration settled = std::chrono::milliseconds{1'500};
+constexpr base::duration min_owned_time = std::chrono::milliseconds{1'500};
 
 /// A change of owner is worth its cost if another instance has this many times
 /// the processor time.
-constexpr double much_larger = 1.5;
+constexpr double larger_instance_factor = 1.5;
 
 /// Lag above this is an overload: more than a processor that is paused for
 /// tenths of a second shows under a load that it can handle.
-constexpr base::duration too_late = std::chrono::milliseconds{70};
+constexpr base::duration max_lag = std::chrono::milliseconds{70};
 
 } // namespace
 
@@ -37,18 +37,18 @@
 
 yield_reason should_yield(owner_load const& it)
 {
-    if (it.owned_for < settled || it.others.empty())
+    if (it.owned_for < min_owned_time || it.others.empty())
     {
         return yield_reason::none;
     }
     auto const largest =
         std::ranges::max(it.others, {}, &peer::millicores).millicores;
     if (static_cast<double>(largest) >=
-        much_larger * static_cast<double>(it.millicores))
+        larger_instance_factor * static_cast<double>(it.millicores))
     {
         return yield_reason::larger_instance;
     }
-    return it.lag > too_late && largest >= it.millicores
+    return it.lag > max_lag && largest >= it.millicores
                ? yield_reason::overloaded
                : yield_reason::none;
 }
--- a/tests/cell/advice_queue_test.cpp
+++ b/tests/cell/advice_queue_test.cpp
@@ -46,7 +46,7 @@
     std::vector<std::uint64_t> out;
     while (auto const it = queue.next(machines(others), start))
     {
-        out.push_back(it->question);
+        out.push_back(it->request);
     }
     return out;
 }
@@ -96,7 +96,7 @@
     while (auto const it = queue.next(machines(sample.others), start))
     {
         ++under_way;
-        own += it->machine == network::socket_address{} ? 1 : 0;
+        own += it->sender == network::socket_address{} ? 1 : 0;
     }
     BOOST_TEST(under_way == sample.under_way);
     BOOST_TEST(own == sample.own);
@@ -116,7 +116,7 @@
     queue.add(1'000, order(short_time));
     auto const it = queue.next(machines(36), start);
     BOOST_REQUIRE(it.has_value());
-    BOOST_TEST(it->question == 1'000U);
+    BOOST_TEST(it->request == 1'000U);
 }
 
 BOOST_AUTO_TEST_CASE(earliest_deadline_first_and_late_work_last)
@@ -138,11 +138,11 @@
     queue.add(1, order(short_time));
     auto const first = queue.next(machines(6), start);
     BOOST_REQUIRE(first.has_value());
-    queue.ended(first->machine, false, start);
+    queue.ended(first->sender, false, start);
     queue.add(2, order(short_time));
     auto const second = queue.next(machines(6), start);
     BOOST_REQUIRE(second.has_value());
-    BOOST_TEST((second->machine != first->machine));
+    BOOST_TEST((second->sender != first->sender));
 }
 
 BOOST_AUTO_TEST_CASE(one_machine_is_used_if_all_are_avoided)
@@ -153,7 +153,7 @@
         queue.add(n, order(long_time));
         auto const it = queue.next({}, start);
         BOOST_REQUIRE(it.has_value());
-        queue.ended(it->machine, false, start);
+        queue.ended(it->sender, false, start);
     }
 }
 
--- a/tests/cell/batch_waiters_test.cpp
+++ b/tests/cell/batch_waiters_test.cpp
@@ -118,7 +118,7 @@
     {
         for (auto const& it : told)
         {
-            in.push_back(it.submitted.number);
+            in.push_back(it.submitted_job.number);
         }
     }
 
--- a/tests/cell/fake_log.hpp
+++ b/tests/cell/fake_log.hpp
@@ -48,10 +48,11 @@
                 cell::append_handler handler) override
     {
         ++appends;
-        auto const next = fates.empty() ? fate::store : fates.front();
-        if (!fates.empty())
+        auto const next =
+            append_behaviors.empty() ? fate::store : append_behaviors.front();
+        if (!append_behaviors.empty())
         {
-            fates.pop_front();
+            append_behaviors.pop_front();
         }
         if (next == fate::silent)
         {
@@ -183,7 +184,7 @@
     std::uint64_t first{0};
     std::size_t page{500};
     std::vector<scheduler::record> between_pages;
-    std::deque<fate> fates;
+    std::deque<fate> append_behaviors;
     std::size_t appends{0};
     /// The largest read so far, in bytes of keys and values.
     std::size_t largest_read{0};
--- a/tests/cell/hold_list_test.cpp
+++ b/tests/cell/hold_list_test.cpp
@@ -65,17 +65,17 @@
     {
         it.add(id);
     }
-    auto const standing_of = [](std::string const& id)
+    auto const status_of = [](std::string const& id)
     {
         return id == "i-4" ? standing::holds_work : standing::callable;
     };
-    BOOST_TEST(it.take_due(at_ms(0), 0, 2, standing_of) ==
+    BOOST_TEST(it.take_due(at_ms(0), 0, 2, status_of) ==
                    (std::vector<std::string>{"i-4", "i-1"}),
                boost::test_tools::per_element());
-    BOOST_TEST(it.take_due(at_ms(1), 0, 2, standing_of) ==
+    BOOST_TEST(it.take_due(at_ms(1), 0, 2, status_of) ==
                    (std::vector<std::string>{"i-2", "i-3"}),
                boost::test_tools::per_element());
-    BOOST_TEST(it.take_due(at_ms(2), 0, 2, standing_of).empty());
+    BOOST_TEST(it.take_due(at_ms(2), 0, 2, status_of).empty());
 }
 
 /// The end of a task that was started during an instance's rest must be
@@ -125,7 +125,7 @@
     BOOST_TEST(it.take_due(at_ms(1), 0, all, callable).empty());
     it.failed("i-1", at_ms(2));
     BOOST_TEST(it.take_due(at_ms(300), 0, all,
-                           [](auto const&) { return standing::gone; })
+                           [](auto const&) { return standing::unknown; })
                    .empty());
     it.add("i-1");
     BOOST_TEST(it.take_due(at_ms(301), 0, all, callable).size() == 1U);
--- a/tests/cell/hold_turn_test.cpp
+++ b/tests/cell/hold_turn_test.cpp
@@ -44,7 +44,7 @@
                      boost::unit_test::data::make(cases))
 {
     cell::hold_turn it;
-    it.asked();
+    it.request_sent();
     BOOST_TEST(!it.due(base::instant{std::chrono::seconds{9}}, sample.batch));
     it.reported(base::instant{}, sample.batch);
     BOOST_TEST(it.due(base::instant{}, sample.stored) == sample.due);
@@ -53,7 +53,7 @@
 BOOST_AUTO_TEST_CASE(failed_request_is_retried_after_a_pause)
 {
     cell::hold_turn it;
-    it.asked();
+    it.request_sent();
     it.failed(base::instant{});
     BOOST_TEST(!it.due(base::instant{std::chrono::milliseconds{199}}, 0));
     BOOST_TEST(it.due(base::instant{std::chrono::milliseconds{200}}, 0));
--- a/tests/cell/ownership_test.cpp
+++ b/tests/cell/ownership_test.cpp
@@ -24,9 +24,9 @@
         return {};
     }
 
-    void heard_of(cell::configuration_age const&,
-                  base::instant,
-                  network::socket_address const&) override
+    void on_configuration_reported(cell::configuration_age const&,
+                                   base::instant,
+                                   network::socket_address const&) override
     {
     }
 
--- a/tests/cell/reliable_append_test.cpp
+++ b/tests/cell/reliable_append_test.cpp
@@ -101,7 +101,7 @@
 BOOST_DATA_TEST_CASE(outcome_is_certain, boost::unit_test::data::make(cases))
 {
     log.put(sample.others);
-    log.fates.assign(sample.fates.begin(), sample.fates.end());
+    log.append_behaviors.assign(sample.fates.begin(), sample.fates.end());
     begin(sample.at);
     run();
     BOOST_REQUIRE(end.has_value());
@@ -116,12 +116,12 @@
 
 BOOST_AUTO_TEST_CASE(refused_append_can_be_taken_back)
 {
-    log.fates.assign(1'000, fate::refuse);
+    log.append_behaviors.assign(1'000, fate::refuse);
     begin(0);
     loop.run_for(std::chrono::milliseconds{20});
     BOOST_TEST(append.take_back());
     BOOST_TEST(!append.busy());
-    log.fates.clear();
+    log.append_behaviors.clear();
     run();
     BOOST_TEST(!end.has_value());
     BOOST_TEST(log.log.empty());
@@ -132,13 +132,14 @@
 /// counted.
 BOOST_AUTO_TEST_CASE(unanswered_append_cannot_be_taken_back)
 {
-    log.fates.push_back(fate::delay);
-    log.fates.insert(log.fates.end(), 1'000, fate::refuse);
+    log.append_behaviors.push_back(fate::delay);
+    log.append_behaviors.insert(log.append_behaviors.end(), 1'000,
+                                fate::refuse);
     begin(0);
     loop.run_for(std::chrono::milliseconds{20});
     BOOST_TEST(!append.take_back());
     log.deliver_late();
-    log.fates.clear();
+    log.append_behaviors.clear();
     run();
     BOOST_REQUIRE(end.has_value());
     BOOST_TEST((*end == reliable_append_outcome::stored));
@@ -149,7 +150,7 @@
 /// came, and the attempts queued up behind each other.
 BOOST_AUTO_TEST_CASE(slow_store_is_not_considered_silent)
 {
-    log.fates.assign(1'000, fate::slow);
+    log.append_behaviors.assign(1'000, fate::slow);
     auto const began = clock.now();
     begin(0);
     run();
@@ -165,10 +166,10 @@
 /// had timed out.
 BOOST_AUTO_TEST_CASE(recovered_store_is_tried_soon)
 {
-    log.fates.assign(1'000, fate::silent);
+    log.append_behaviors.assign(1'000, fate::silent);
     begin(0);
     loop.run_for(std::chrono::milliseconds{1'300});
-    log.fates.clear();
+    log.append_behaviors.clear();
     auto const back = clock.now();
     run();
     BOOST_REQUIRE(end.has_value());
@@ -180,7 +181,7 @@
 /// counted by the store, while connections are reset at once.
 BOOST_AUTO_TEST_CASE(connection_resets_limit_the_rate)
 {
-    log.fates.assign(1'000, fate::delay);
+    log.append_behaviors.assign(1'000, fate::delay);
     begin(0);
     loop.run_for(std::chrono::milliseconds{300});
     // Sent after 10, 20, 40 and 80 ms, and then every 100 ms.
@@ -190,7 +191,7 @@
 
 BOOST_AUTO_TEST_CASE(append_is_given_up_after_its_limit)
 {
-    log.fates.assign(1'000, fate::refuse);
+    log.append_behaviors.assign(1'000, fate::refuse);
     begin(0, std::chrono::milliseconds{100});
     run();
     BOOST_REQUIRE(end.has_value());
