--- a/tests/scheduler/world_owner.cpp
+++ b/tests/scheduler/world_owner.cpp
@@ -82,7 +82,7 @@
         auto const all = by->clients.take_unsent();
         for (auto const& it : all)
         {
-            if (withdraw(it.submitted))
+            if (withdraw(it.submitted_job))
             {
                 it.done({cell::job_answer_kind::refused, {}, 0, {}});
                 continue;
--- a/utilities/cell_replay/replay.cpp
+++ b/utilities/cell_replay/replay.cpp
@@ -313,12 +313,12 @@
 {
     while (auto const it = m_queue.next(m_peers, m_time.now()))
     {
-        auto const& order = m_questions.at(it->question);
+        auto const& order = m_questions.at(it->request);
         ++m_figures.questions;
         m_figures.advice_s += base::seconds_of(order.expected);
-        m_asked_by.emplace(it->question, it->machine);
+        m_asked_by.emplace(it->request, it->sender);
         m_time.after(order.expected + way_to_advice,
-                     [this, number = it->question] { answer_advice(number); });
+                     [this, number = it->request] { answer_advice(number); });
     }
 }
 
