--- a/libraries/scheduler/instance_table.cpp
+++ b/libraries/scheduler/instance_table.cpp
@@ -43,9 +43,8 @@
     return at == m_instances.end() ? nullptr : at->second;
 }
 
-std::vector<instance const*>
-instance_table::roomiest(std::size_t most,
-                         std::function<bool(instance const&)> const& fits)
+std::vector<instance const*> instance_table::select_by_free_cpu(
+    std::size_t most, std::function<bool(instance const&)> const& fits)
 {
     std::vector<instance const*> out;
     auto it = m_instances.size() > most ? m_instances.upper_bound(m_looked_at)
--- a/libraries/scheduler/instance_table.hpp
+++ b/libraries/scheduler/instance_table.hpp
@@ -70,8 +70,8 @@
     /// descending order of free processor time. If there are more, the next
     /// call continues after the last instance examined.
     [[nodiscard]] std::vector<instance const*>
-    roomiest(std::size_t most,
-             std::function<bool(instance const&)> const& fits);
+    select_by_free_cpu(std::size_t most,
+                       std::function<bool(instance const&)> const& fits);
 
     /// Removes instances that are not listed and have no attempts.
     void forget_idle();
@@ -83,7 +83,7 @@
     instance_map m_instances;
     base::instant m_former_lease_end;
     std::uint32_t m_last_number{0};
-    /// Id of the instance that `roomiest` examined last.
+    /// Id of the instance that `select_by_free_cpu` examined last.
     std::string m_looked_at;
 };
 
--- a/libraries/scheduler/orders.hpp
+++ b/libraries/scheduler/orders.hpp
@@ -127,25 +127,27 @@
 };
 
 /// An attempt that runs on an instance, as reported. A value.
-struct running_row
+struct running_attempt_report
 {
     attempt_name attempt;
     std::string checkpoint;
     /// Progress, 0 to 100.
     int percent{0};
 
-    friend bool operator==(running_row const&, running_row const&) = default;
+    friend bool operator==(running_attempt_report const&,
+                           running_attempt_report const&) = default;
 };
 
 /// An attempt that has ended on an instance, as reported. A value.
-struct ended_row
+struct ended_attempt_report
 {
     std::uint64_t number{0};
     attempt_name attempt;
     end_reason reason{end_reason::done};
     std::string checkpoint;
 
-    friend bool operator==(ended_row const&, ended_row const&) = default;
+    friend bool operator==(ended_attempt_report const&,
+                           ended_attempt_report const&) = default;
 };
 
 /// An instance's report of its attempts. A value.
@@ -157,8 +159,8 @@
     base::instant read_at;
     /// The instance's own clock, in milliseconds.
     std::int64_t clock_ms{0};
-    std::vector<running_row> running;
-    std::vector<ended_row> ended;
+    std::vector<running_attempt_report> running;
+    std::vector<ended_attempt_report> ended;
 };
 
 /// An instance that the advice service allows, with its ticket. A value.
--- a/libraries/scheduler/placement.cpp
+++ b/libraries/scheduler/placement.cpp
@@ -42,8 +42,9 @@
     constexpr double far_penalty = 10;
     auto const far =
         !step.preferred_rack.empty() && it.rack != step.preferred_rack;
-    auto const roomiest = step.uses_spare_cpu || by == fit::separate_suspects;
-    return (roomiest ? roomiest_score(it) : left_over(it, step.need)) +
+    auto const prefers_free_cpu =
+        step.uses_spare_cpu || by == fit::separate_suspects;
+    return (prefers_free_cpu ? roomiest_score(it) : left_over(it, step.need)) +
            (it.suspects_here > 0 ? beside_penalty : 0) +
            (far ? far_penalty : 0);
 }
--- a/libraries/scheduler/scheduler_advice.cpp
+++ b/libraries/scheduler/scheduler_advice.cpp
@@ -256,7 +256,7 @@
     {
         return {};
     }
-    auto const open = m_instances.roomiest(
+    auto const open = m_instances.select_by_free_cpu(
         max_examined,
         [&](instance const& it)
         {
--- a/libraries/scheduler/scheduler_gang_advice.cpp
+++ b/libraries/scheduler/scheduler_gang_advice.cpp
@@ -12,15 +12,15 @@
 /// over when empty, given the share that its queue's policy allows. With fewer,
 /// the gang waits for room on the few instances it knows while others have
 /// some; with more, the requests of other gangs are delayed.
-constexpr double gang_spare = 12.0;
+constexpr double gang_capacity_factor = 12.0;
 constexpr std::size_t least_named_for_gang = 24;
 
 /// Maximum number of open requests of one gang beyond the first ones.
-constexpr std::size_t most_beside = 3;
+constexpr std::size_t max_additional_requests = 3;
 
 /// A gang requests the tickets of its plan this much earlier than the answer is
 /// needed.
-constexpr base::duration ask_ahead = std::chrono::milliseconds{50};
+constexpr base::duration request_lead_time = std::chrono::milliseconds{50};
 
 base::duration time_for(workload::advice_spec const& costs, std::size_t named)
 {
@@ -40,7 +40,7 @@
 {
     auto const& spec = of.spec_of(name);
     auto const& known = of.find(name)->advice;
-    return m_instances.roomiest(
+    return m_instances.select_by_free_cpu(
         max_examined,
         [&](instance const& it)
         {
@@ -104,7 +104,8 @@
         known.asked, [&](auto n) { return known.allowed.contains(n); });
     auto tickets =
         renewing ? std::vector<instance const*>{} : expiring_tickets(in, now);
-    auto const answered = now + time_for(costs, tickets.size()) + ask_ahead;
+    auto const answered =
+        now + time_for(costs, tickets.size()) + request_lead_time;
     auto const start_by = in.reserves_instances ? answered : now;
     if (!tickets.empty() && *in.planned_start <= start_by &&
         (in.reserves_instances || spare))
@@ -115,7 +116,8 @@
         in.planned_start && *in.planned_start < at.latest_start;
     // Without a plan the gang cannot start at all on the instances it knows.
     auto const needed = !in.planned_start && known.open.empty();
-    if (in_time || known.open.size() >= most_beside || !(needed || spare))
+    if (in_time || known.open.size() >= max_additional_requests ||
+        !(needed || spare))
     {
         return {};
     }
@@ -135,8 +137,8 @@
     auto slots = 0.0;
     auto out = unasked_instances(of, name, queue, now);
     std::size_t n = 0;
-    while (n < out.size() &&
-           (n < least_named_for_gang || slots < gang_spare * spec.tasks))
+    while (n < out.size() && (n < least_named_for_gang ||
+                              slots < gang_capacity_factor * spec.tasks))
     {
         slots += share * slots_in(spec, out[n++]->info().capacity, 0);
     }
--- a/libraries/scheduler/scheduler_gang_plan.cpp
+++ b/libraries/scheduler/scheduler_gang_plan.cpp
@@ -12,7 +12,7 @@
 
 /// Maximum share of the cell that is reserved for waiting gangs. More would
 /// empty the cell faster than the gangs can use it.
-constexpr double most_reserved = 0.25;
+constexpr double max_reserved_share = 0.25;
 
 /// A gang is planned on this many times the slots that it needs, since not all
 /// of them become free in time.
@@ -20,7 +20,7 @@
 
 /// Planning on an instance costs as much as examining this many instances for a
 /// start, since each of its attempts is examined.
-constexpr std::size_t looks_to_plan = 8;
+constexpr std::size_t examinations_per_planned_instance = 8;
 
 /// An attempt that is overdue is expected to end within this time.
 constexpr base::duration overdue_ends_in = std::chrono::milliseconds{100};
@@ -40,7 +40,7 @@
 {
     auto& in = *of.find(it.name);
     auto const most =
-        most_reserved * static_cast<double>(m_instances.all().size());
+        max_reserved_share * static_cast<double>(m_instances.all().size());
     // Only one late gang reserves at a time: partial reservations for several
     // of them would be useful to none.
     auto const later =
@@ -73,7 +73,7 @@
 {
     auto const& spec = of.spec_of(it.name);
     auto const usable = usable_later(of, it.name, now);
-    m_examined += looks_to_plan * usable.size();
+    m_examined += examinations_per_planned_instance * usable.size();
     std::vector<room_forecast> from;
     from.reserve(usable.size());
     for (auto const& at : usable)
--- a/tests/scheduler/account_cap_test.cpp
+++ b/tests/scheduler/account_cap_test.cpp
@@ -1,4 +1,4 @@
-#include "bench_owner.hpp"
+#include "scheduler_fixture.hpp"
 
 #include <boost/test/unit_test.hpp>
 
@@ -28,16 +28,16 @@
                           std::uint32_t tasks,
                           std::int64_t cpu = 1'000)
 {
-    auto out = bench_owner::job(id, tasks, cpu);
+    auto out = scheduler_fixture::job(id, tasks, cpu);
     out.account = std::move(account);
     return out;
 }
 
 /// Two instances of 4 cores, and an account with a cap of 3 cores.
-struct capped_cell : bench_owner
+struct capped_cell : scheduler_fixture
 {
     explicit capped_cell(std::map<std::string, std::string> const& stored = {})
-        : bench_owner{stored}
+        : scheduler_fixture{stored}
     {
         decisions.set_configuration(with_cap({3'000, 0, 0}));
         for (auto const* const id : {"a", "b"})
@@ -96,7 +96,7 @@
     former.decisions.submit(job_of("small", 1, 3), 0, former.now);
     BOOST_REQUIRE(former.starts().size() == 3U);
 
-    bench_owner it{former.records};
+    scheduler_fixture it{former.records};
     it.decisions.set_configuration(with_cap({3'000, 0, 0}));
     it.list("c");
     it.report("c");
--- a/tests/scheduler/advice_test.cpp
+++ b/tests/scheduler/advice_test.cpp
@@ -58,9 +58,9 @@
         it.fill(sample.full);
     }
     auto const job = sample.is_gang ? gang(1, sample.tasks)
-                                    : bench_owner::job(1, sample.tasks);
+                                    : scheduler_fixture::job(1, sample.tasks);
     it.decisions.submit(job, 0, it.now);
-    auto const asked = it.questions();
+    auto const asked = it.advice_requests();
     if (sample.named == 0)
     {
         BOOST_TEST(asked.empty());
@@ -70,7 +70,7 @@
     BOOST_TEST(asked[0].instances.size() == sample.named);
     // No other request is sent before the answer.
     it.advance(milliseconds{50});
-    BOOST_TEST(it.questions().empty());
+    BOOST_TEST(it.advice_requests().empty());
 }
 
 /// While a gang waits for room its tickets expire. It requests new ones when
@@ -80,15 +80,15 @@
     advised_cell it{10};
     it.fill(10);
     it.decisions.submit(gang(1, 4), 0, it.now);
-    auto const first = it.questions();
+    auto const first = it.advice_requests();
     BOOST_REQUIRE(first.size() == 1U);
     BOOST_TEST(first[0].instances.size() == 10U);
     it.answer(first[0], 6);
     it.advance(validity + milliseconds{500});
-    BOOST_TEST(it.questions().empty());
+    BOOST_TEST(it.advice_requests().empty());
     for (auto const& id : first[0].instances)
     {
-        std::vector<scheduler::ended_row> ended;
+        std::vector<scheduler::ended_attempt_report> ended;
         for (auto const& [name, attempt] :
              it.decisions.instances().all().at(id)->attempts())
         {
@@ -97,7 +97,7 @@
         it.report(id, {}, ended);
     }
     it.advance(milliseconds{200});
-    auto const second = it.questions();
+    auto const second = it.advice_requests();
     BOOST_REQUIRE(second.size() == 1U);
     BOOST_TEST(second[0].instances.size() <= 6U);
     for (auto const& id : second[0].instances)
@@ -116,22 +116,22 @@
     advised_cell it{8};
     it.fill(7);
     it.decisions.submit(gang(1, 4), 0, it.now);
-    auto const asked = it.questions();
+    auto const asked = it.advice_requests();
     BOOST_REQUIRE(asked.size() == 1U);
     it.answer(asked[0], 8);
     BOOST_TEST(it.starts().empty());
     // The gang's room is free when the other tasks end, in 5 s.
-    auto later = bench_owner::job(2, 1);
+    auto later = scheduler_fixture::job(2, 1);
     later.queue = "free";
     later.steps[0].estimate_ms = 6'000;
     it.decisions.submit(later, 0, it.now);
     BOOST_TEST(it.starts().empty());
-    auto passing = bench_owner::job(3, 1);
+    auto passing = scheduler_fixture::job(3, 1);
     passing.queue = "free";
     passing.steps[0].estimate_ms = 500;
     it.decisions.submit(passing, 0, it.now);
     BOOST_TEST(it.starts().size() == 1U);
-    auto done_before = bench_owner::job(4, 1);
+    auto done_before = scheduler_fixture::job(4, 1);
     done_before.queue = "free";
     done_before.steps[0].estimate_ms = 4'000;
     it.decisions.submit(done_before, 0, it.now);
@@ -143,8 +143,8 @@
 BOOST_AUTO_TEST_CASE(a_request_with_time_to_spare_is_not_postponed_forever)
 {
     advised_cell it{20};
-    it.decisions.submit(bench_owner::job(1, 4), 0, it.now);
-    auto const asked = it.questions();
+    it.decisions.submit(scheduler_fixture::job(1, 4), 0, it.now);
+    auto const asked = it.advice_requests();
     BOOST_REQUIRE(asked.size() == 1U);
     BOOST_TEST((asked[0].needed_by - it.now <= 16 * asked[0].expected));
 }
@@ -164,9 +164,9 @@
     do
     {
         ++rounds;
-        for (auto const& question : it.questions())
+        for (auto const& request : it.advice_requests())
         {
-            asked.insert(question.step.job);
+            asked.insert(request.step.job);
         }
     } while (!it.decisions.round_complete());
     BOOST_TEST(rounds > 2);
@@ -181,17 +181,17 @@
 BOOST_AUTO_TEST_CASE(an_answer_to_a_withdrawn_submission_does_not_stop_requests)
 {
     advised_cell it{80};
-    it.decisions.submit(bench_owner::job(1, 4), 0, it.now);
-    auto const first = it.questions();
+    it.decisions.submit(scheduler_fixture::job(1, 4), 0, it.now);
+    auto const first = it.advice_requests();
     BOOST_REQUIRE(first.size() == 1U);
     BOOST_REQUIRE(it.decisions.withdraw({1}));
-    it.decisions.submit(bench_owner::job(1, 4), 0, it.now);
-    auto const second = it.questions();
+    it.decisions.submit(scheduler_fixture::job(1, 4), 0, it.now);
+    auto const second = it.advice_requests();
     BOOST_REQUIRE(second.size() == 1U);
     it.answer(first[0], 0);
     it.answer(second[0], 0);
     it.advance(milliseconds{200});
-    BOOST_TEST(it.questions().size() == 1U);
+    BOOST_TEST(it.advice_requests().size() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/scheduler/advised_cell.hpp
+++ b/tests/scheduler/advised_cell.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "bench_owner.hpp"
+#include "scheduler_fixture.hpp"
 
 #include <algorithm>
 #include <set>
@@ -15,7 +15,7 @@
 
 /// A cell of equal instances with 4 cores each, and a queue that requires
 /// advice.
-struct advised_cell : bench_owner
+struct advised_cell : scheduler_fixture
 {
     explicit advised_cell(std::size_t instances)
     {
@@ -49,8 +49,8 @@
     /// Fills this many instances completely.
     void fill(std::size_t instances)
     {
-        auto job =
-            bench_owner::job(900, static_cast<std::uint32_t>(instances), 4'000);
+        auto job = scheduler_fixture::job(
+            900, static_cast<std::uint32_t>(instances), 4'000);
         job.queue = "free";
         job.steps[0].estimate_ms = 5'000;
         decisions.submit(job, 0, now);
@@ -66,7 +66,7 @@
         for (auto const& id : ids)
         {
             auto const& at = decisions.instances().all().at(id);
-            std::vector<scheduler::ended_row> ended;
+            std::vector<scheduler::ended_attempt_report> ended;
             for (auto const& [name, attempt] : at->attempts())
             {
                 auto const number = std::uint64_t{ended.size()} + 1;
@@ -88,16 +88,16 @@
         end_on(all);
     }
 
-    std::vector<scheduler::advice_order> questions()
+    std::vector<scheduler::advice_order> advice_requests()
     {
         std::vector<scheduler::advice_order> out;
         for (auto const& it : decide())
         {
-            if (auto const* const question =
+            if (auto const* const request =
                     std::get_if<scheduler::advice_order>(&it);
-                question != nullptr)
+                request != nullptr)
             {
-                out.push_back(*question);
+                out.push_back(*request);
             }
         }
         return out;
@@ -118,7 +118,7 @@
 
 inline workload::job_spec gang(std::uint64_t id, std::uint32_t tasks)
 {
-    auto out = bench_owner::job(id, tasks, 2'000);
+    auto out = scheduler_fixture::job(id, tasks, 2'000);
     out.steps[0].gang = true;
     out.steps[0].estimate_ms = 5'000;
     return out;
--- a/tests/scheduler/capacity_test.cpp
+++ b/tests/scheduler/capacity_test.cpp
@@ -1,4 +1,4 @@
-#include "bench_owner.hpp"
+#include "scheduler_fixture.hpp"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -36,7 +36,7 @@
     {"no cores are left", {0, 4'000, 0}, 0},
 };
 
-void list(bench_owner& it, workload::resources const& capacity)
+void list(scheduler_fixture& it, workload::resources const& capacity)
 {
     scheduler::instance_info info;
     info.id = "a";
@@ -57,10 +57,10 @@
 BOOST_DATA_TEST_CASE(a_planned_start_needs_room_in_the_new_capacity,
                      boost::unit_test::data::make(cases))
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 2), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 2), 0, it.now);
     BOOST_TEST(it.decide().empty());
     list(it, sample.then);
     BOOST_TEST(count_of<scheduler::start_order>(it.store()) == sample.started);
@@ -73,10 +73,10 @@
 /// and must be stopped in case it is carried out late.
 BOOST_AUTO_TEST_CASE(an_unanswered_start_is_stopped_where_no_room_is_left)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1), 0, it.now);
     auto const start = it.starts().at(0);
     it.decisions.start_answered("a", start.attempt,
                                 scheduler::start_answer::unanswered, 0, it.now);
@@ -94,13 +94,13 @@
 /// stopped, however small the instance has become.
 BOOST_AUTO_TEST_CASE(running_attempts_count_after_the_capacity_shrinks)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 3), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 3), 0, it.now);
     auto const running = it.starts();
     BOOST_REQUIRE(running.size() == 3U);
-    std::vector<scheduler::running_row> rows;
+    std::vector<scheduler::running_attempt_report> rows;
     for (auto const& start : running)
     {
         it.confirm(start);
@@ -108,7 +108,7 @@
     }
     list(it, {3'000, 4'000, 0});
     it.decisions.cancel({1}, it.now);
-    it.decisions.submit(bench_owner::job(2, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(2, 1), 0, it.now);
     BOOST_TEST(it.starts().empty());
     it.advance(milliseconds{100});
     it.report("a", {rows[0], rows[1]},
@@ -120,12 +120,12 @@
 /// running counted as if their instance had shrunk.
 BOOST_AUTO_TEST_CASE(an_attempt_found_running_revokes_no_start)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 1, 4'000), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1, 4'000), 0, it.now);
     BOOST_TEST(it.decide().empty());
-    it.decisions.submit(bench_owner::job(2, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(2, 1), 0, it.now);
     it.report("a", {{{{{{2}, 0, 0}, 0}, 7}, {}, 10}});
     BOOST_TEST(count_of<scheduler::start_order>(it.store()) == 1U);
 }
--- a/tests/scheduler/crash_limit_test.cpp
+++ b/tests/scheduler/crash_limit_test.cpp
@@ -1,4 +1,4 @@
-#include "bench_owner.hpp"
+#include "scheduler_fixture.hpp"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -120,7 +120,7 @@
 
 workload::job_spec job_of(crash_case const& it)
 {
-    auto out = bench_owner::job(1, it.tasks);
+    auto out = scheduler_fixture::job(1, it.tasks);
     out.steps[0].gang = it.gang;
     out.steps[0].long_running = it.lasting;
     out.steps[0].copies_allowed = it.copies;
@@ -134,7 +134,9 @@
 }
 
 /// Loses the instance 10 ms after the starts were sent.
-void lose(std::unique_ptr<bench_owner>& it, std::string const& id, loss how)
+void lose(std::unique_ptr<scheduler_fixture>& it,
+          std::string const& id,
+          loss how)
 {
     constexpr milliseconds lapse{12'000};
     it->advance(milliseconds{10});
@@ -143,7 +145,7 @@
     if (owner_lost(how))
     {
         auto const records = it->records;
-        it = std::make_unique<bench_owner>(records);
+        it = std::make_unique<scheduler_fixture>(records);
     }
     if (how == loss::other_incarnation ||
         how == loss::other_incarnation_and_owner)
@@ -160,7 +162,7 @@
 }
 
 /// How often the first task starts if every instance that starts it crashes.
-std::uint32_t starts_until_given_up(std::unique_ptr<bench_owner>& it,
+std::uint32_t starts_until_given_up(std::unique_ptr<scheduler_fixture>& it,
                                     crash_case const& of)
 {
     it->decisions.submit(job_of(of), 0, it->now);
@@ -195,7 +197,7 @@
 BOOST_DATA_TEST_CASE(a_task_that_crashes_its_instances_is_given_up,
                      boost::unit_test::data::make(crash_cases))
 {
-    auto it = std::make_unique<bench_owner>();
+    auto it = std::make_unique<scheduler_fixture>();
     BOOST_TEST(starts_until_given_up(it, sample) <= most_starts);
     BOOST_TEST((it->decisions.phase_of({1}) == job_phase::failed));
 }
@@ -220,15 +222,15 @@
 /// harmless task after a missing count was read.
 BOOST_AUTO_TEST_CASE(a_new_owner_continues_the_count)
 {
-    auto it = std::make_unique<bench_owner>();
-    it->decisions.submit(bench_owner::job(1, 2), 0, it->now);
+    auto it = std::make_unique<scheduler_fixture>();
+    it->decisions.submit(scheduler_fixture::job(1, 2), 0, it->now);
     it->list("a");
     it->report("a");
     auto const starts = it->starts();
     BOOST_REQUIRE(starts.size() == 2U);
     it->confirm(starts[0]);
     lose(it, "a", loss::other_incarnation);
-    bench_owner next{it->records};
+    scheduler_fixture next{it->records};
     auto const& tasks =
         next.decisions.jobs().all().at({1})->occurrences.at(0).steps[0].tasks;
     BOOST_TEST((tasks[0].lost == scheduler::loss_count{1, 1}));
@@ -239,18 +241,18 @@
 /// instance together, were started together again and lost the next one.
 BOOST_AUTO_TEST_CASE(jobs_that_lost_an_instance_together_start_apart)
 {
-    auto it = std::make_unique<bench_owner>();
+    auto it = std::make_unique<scheduler_fixture>();
     it->list("full");
     it->report("full");
-    it->decisions.submit(bench_owner::job(9, 4), 0, it->now);
+    it->decisions.submit(scheduler_fixture::job(9, 4), 0, it->now);
     auto const others = it->starts();
     BOOST_REQUIRE(others.size() == 4U);
     for (auto const& start : others)
     {
         it->confirm(start);
     }
-    it->decisions.submit(bench_owner::job(1, 1), 0, it->now);
-    it->decisions.submit(bench_owner::job(2, 1), 0, it->now);
+    it->decisions.submit(scheduler_fixture::job(1, 1), 0, it->now);
+    it->decisions.submit(scheduler_fixture::job(2, 1), 0, it->now);
     it->list("a");
     it->report("a");
     for (auto const& start : it->starts())
@@ -277,8 +279,8 @@
 /// instance was not lost under it.
 BOOST_AUTO_TEST_CASE(a_start_that_reached_another_incarnation_counts_no_loss)
 {
-    auto it = std::make_unique<bench_owner>();
-    it->decisions.submit(bench_owner::job(1, 1), 0, it->now);
+    auto it = std::make_unique<scheduler_fixture>();
+    it->decisions.submit(scheduler_fixture::job(1, 1), 0, it->now);
     it->list("a");
     it->report("a");
     auto const start = it->starts().at(0);
@@ -296,13 +298,13 @@
                      boost::unit_test::data::make({false, true}))
 {
     constexpr std::size_t instances = 6;
-    auto it = std::make_unique<bench_owner>();
+    auto it = std::make_unique<scheduler_fixture>();
     for (std::size_t n = 0; n < instances; ++n)
     {
         it->list("i-" + std::to_string(n));
         it->report("i-" + std::to_string(n));
     }
-    auto gang = bench_owner::job(1, 3);
+    auto gang = scheduler_fixture::job(1, 3);
     gang.steps[0].gang = true;
     it->decisions.submit(gang, 0, it->now);
     std::uint32_t crashes = 0;
--- a/tests/scheduler/gang_advice_test.cpp
+++ b/tests/scheduler/gang_advice_test.cpp
@@ -49,14 +49,14 @@
         decisions.set_advice_machines(100);
         fill(40);
         decisions.submit(gang(1, 4), 0, now);
-        auto const first = questions();
+        auto const first = advice_requests();
         BOOST_REQUIRE(first.size() == 1U);
         answer(first[0], 20);
         advance(validity + milliseconds{500});
         known = first[0].instances;
         end_on({known.begin(), known.begin() + 4});
         advance(milliseconds{200});
-        tickets = questions();
+        tickets = advice_requests();
         BOOST_REQUIRE(tickets.size() == 1U);
     }
 
@@ -75,13 +75,13 @@
     advised_cell it{250};
     it.decisions.set_advice_machines(100);
     it.decisions.submit(gang(1, 40), 0, it.now);
-    auto const asked = it.questions();
+    auto const asked = it.advice_requests();
     BOOST_REQUIRE(asked.size() == 3U);
     std::set<std::string> named;
-    for (auto const& question : asked)
+    for (auto const& request : asked)
     {
-        BOOST_TEST(question.instances.size() <= 84U);
-        named.insert(question.instances.begin(), question.instances.end());
+        BOOST_TEST(request.instances.size() <= 84U);
+        named.insert(request.instances.begin(), request.instances.end());
     }
     BOOST_TEST(named.size() == 250U);
     // The first answer is used before the others arrive.
@@ -97,7 +97,7 @@
 {
     advised_cell it{200};
     it.decisions.set_advice_machines(sample.machines);
-    auto filler = bench_owner::job(900, 200, 4'000);
+    auto filler = scheduler_fixture::job(900, 200, 4'000);
     filler.queue = "free";
     filler.steps[0].estimate_ms = sample.full_for.count();
     it.decisions.submit(filler, 0, it.now);
@@ -106,13 +106,13 @@
         it.confirm(each);
     }
     it.decisions.submit(gang(1, 4), 0, it.now);
-    auto const first = it.questions();
+    auto const first = it.advice_requests();
     BOOST_REQUIRE(first.size() == 1U);
     BOOST_REQUIRE(first[0].instances.size() < 100U);
     it.answer(first[0], 4);
-    auto more = it.questions();
+    auto more = it.advice_requests();
     it.advance(milliseconds{200});
-    auto const later = it.questions();
+    auto const later = it.advice_requests();
     more.insert(more.end(), later.begin(), later.end());
     BOOST_TEST(!more.empty() == sample.asks_more);
 }
@@ -130,9 +130,9 @@
     {
         it.decisions.submit(gang(n, 4), 0, it.now);
     }
-    for (auto const& question : it.questions())
+    for (auto const& request : it.advice_requests())
     {
-        it.answer(question, 20);
+        it.answer(request, 20);
     }
     // More than three times their objectives.
     it.advance(std::chrono::minutes{3});
@@ -141,9 +141,9 @@
     for (int n = 0; n < 5; ++n)
     {
         it.advance(milliseconds{100});
-        for (auto const& question : it.questions())
+        for (auto const& request : it.advice_requests())
         {
-            asked.insert(question.step.job);
+            asked.insert(request.step.job);
         }
     }
     BOOST_TEST(asked.size() == gangs);
@@ -156,13 +156,13 @@
     advised_cell it{6};
     it.fill(6);
     it.decisions.submit(gang(1, 4), 0, it.now);
-    auto const first = it.questions();
+    auto const first = it.advice_requests();
     BOOST_REQUIRE(first.size() == 1U);
     it.answer(first[0], 2);
     it.advance(validity + milliseconds{500});
     it.end_all();
     it.advance(milliseconds{200});
-    auto const second = it.questions();
+    auto const second = it.advice_requests();
     BOOST_REQUIRE(second.size() == 1U);
     it.answer(second[0], 2);
     BOOST_TEST(it.starts().size() == 4U);
@@ -175,12 +175,12 @@
 {
     advised_cell it{100};
     it.decisions.submit(gang(1, 2), 0, it.now);
-    auto const first = it.questions();
+    auto const first = it.advice_requests();
     BOOST_REQUIRE(first.size() == 1U);
     BOOST_REQUIRE(first[0].instances.size() < 100U);
     it.answer(first[0], 0);
     it.advance(milliseconds{200});
-    auto const second = it.questions();
+    auto const second = it.advice_requests();
     BOOST_REQUIRE(second.size() == 1U);
     it.answer(second[0], 2);
     BOOST_TEST(it.starts().size() == 2U);
@@ -196,17 +196,17 @@
     auto const& tickets = it.tickets;
     // The plan changes: that room is used by others, and other room becomes
     // free.
-    auto passing = bench_owner::job(901, 4, 4'000);
+    auto passing = scheduler_fixture::job(901, 4, 4'000);
     passing.queue = "free";
     passing.steps[0].estimate_ms = 900;
     it.decisions.submit(passing, 0, it.now);
     BOOST_REQUIRE(it.starts().size() == 4U);
     it.end_on({known.begin() + 4, known.begin() + 8});
     it.advance(milliseconds{200});
-    BOOST_TEST(it.questions().empty());
+    BOOST_TEST(it.advice_requests().empty());
     it.answer(tickets[0], tickets[0].instances.size());
     it.advance(milliseconds{200});
-    BOOST_TEST(it.questions().size() == 1U);
+    BOOST_TEST(it.advice_requests().size() == 1U);
 }
 
 /// Guards against a gang that never starts although it has room: an instance
@@ -224,7 +224,7 @@
     it.answer(tickets[0], 0);
     it.end_all();
     it.advance(milliseconds{200});
-    BOOST_TEST(it.questions().size() == 1U);
+    BOOST_TEST(it.advice_requests().size() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/scheduler/instance_table_test.cpp
+++ b/tests/scheduler/instance_table_test.cpp
@@ -43,12 +43,12 @@
     for (std::size_t n = 0; n < instances / most; ++n)
     {
         looks = 0;
-        auto const found = book.roomiest(most,
-                                         [&](auto const&)
-                                         {
-                                             ++looks;
-                                             return true;
-                                         });
+        auto const found = book.select_by_free_cpu(most,
+                                                   [&](auto const&)
+                                                   {
+                                                       ++looks;
+                                                       return true;
+                                                   });
         BOOST_TEST(looks == most);
         BOOST_TEST(found.front()->room().cpu_millis == 6);
         BOOST_TEST(found.back()->room().cpu_millis == 0);
@@ -63,7 +63,7 @@
 /// All suitable instances are found even if there are few.
 BOOST_AUTO_TEST_CASE(all_suitable_instances_are_found)
 {
-    auto const found = book.roomiest(
+    auto const found = book.select_by_free_cpu(
         most, [](auto const& it)
         { return it.info().id == "i-2" || it.info().id == "i-9"; });
     BOOST_TEST(found.size() == 2U);
--- a/tests/scheduler/leave_test.cpp
+++ b/tests/scheduler/leave_test.cpp
@@ -1,4 +1,4 @@
-#include "bench_owner.hpp"
+#include "scheduler_fixture.hpp"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -57,10 +57,10 @@
 BOOST_DATA_TEST_CASE(attempts_are_evacuated_from_a_leaving_instance,
                      boost::unit_test::data::make(cases))
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    auto job = bench_owner::job(1, 1);
+    auto job = scheduler_fixture::job(1, 1);
     job.steps[0].can_checkpoint = sample.checkpoints;
     job.steps[0].long_running = sample.lasting;
     it.decisions.submit(job, 0, it.now);
--- a/tests/scheduler/owner_test.cpp
+++ b/tests/scheduler/owner_test.cpp
@@ -1,4 +1,4 @@
-#include "bench_owner.hpp"
+#include "scheduler_fixture.hpp"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -16,9 +16,9 @@
 
 constexpr base::duration second = std::chrono::seconds{1};
 
-scheduler::ended_row end_of(std::uint64_t number,
-                            scheduler::start_order const& it,
-                            end_reason reason)
+scheduler::ended_attempt_report end_of(std::uint64_t number,
+                                       scheduler::start_order const& it,
+                                       end_reason reason)
 {
     return {number, it.attempt, reason, {}};
 }
@@ -29,10 +29,10 @@
 
 BOOST_AUTO_TEST_CASE(a_start_is_sent_only_after_its_record_is_stored)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1), 0, it.now);
     BOOST_TEST(count_of<scheduler::start_order>(it.decide()) == 0U);
     BOOST_TEST(!it.decisions.phase_of({1}).has_value());
     BOOST_TEST(count_of<scheduler::start_order>(it.store()) == 1U);
@@ -41,10 +41,10 @@
 
 BOOST_AUTO_TEST_CASE(an_end_is_acknowledged_and_shown_only_after_it_is_stored)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1), 0, it.now);
     auto const start = it.starts().at(0);
     it.confirm(start);
     it.advance(second);
@@ -60,10 +60,10 @@
 /// job, whose details were released while the end was still being processed.
 BOOST_AUTO_TEST_CASE(the_last_failure_of_a_task_stops_the_others)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 2), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 2), 0, it.now);
     auto const first = it.starts();
     BOOST_REQUIRE(first.size() == 2U);
     it.confirm(first[0]);
@@ -86,10 +86,10 @@
 /// so the last lease never expired and the end of its task was never known.
 BOOST_AUTO_TEST_CASE(the_leases_of_an_unresponsive_instance_expire)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1), 0, it.now);
     it.confirm(it.starts().at(0));
     it.decisions.hold_unanswered("a", it.now);
     for (int n = 0; n < 20; ++n)
@@ -111,12 +111,12 @@
 /// which dropped the plan with it.
 BOOST_AUTO_TEST_CASE(an_expired_lease_keeps_planned_starts)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
     it.advance(second * 60);
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1), 0, it.now);
     BOOST_TEST(it.decide().empty());
     it.decisions.tick(0, it.now);
     BOOST_TEST(count_of<scheduler::start_order>(it.store()) == 1U);
@@ -127,10 +127,10 @@
 /// the living one took the living one for dead.
 BOOST_AUTO_TEST_CASE(a_second_incarnation_does_not_end_the_first)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("new", "address");
     it.report("new");
-    it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1), 0, it.now);
     it.confirm(it.starts().at(0));
     it.list("old", "address");
     it.list("other");
@@ -143,11 +143,11 @@
 /// counted as free.
 BOOST_AUTO_TEST_CASE(nothing_is_placed_beside_an_attempt_of_unknown_need)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     auto const stray = scheduler::attempt_name{{{{9}, 0, 0}, 0}, 1};
     it.report("a", {{stray, {}, 10}});
-    it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1), 0, it.now);
     BOOST_TEST(it.starts().empty());
     it.advance(second);
     it.report("a", {}, {{1, stray, end_reason::stopped, {}}});
@@ -156,16 +156,16 @@
 
 BOOST_AUTO_TEST_CASE(an_unsent_submission_can_be_withdrawn)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1), 0, it.now);
     BOOST_TEST(it.decide().empty());
     BOOST_TEST(it.decisions.withdraw({1}));
     BOOST_TEST(it.store().empty());
     BOOST_TEST(it.records.empty());
     BOOST_TEST(it.decisions.pending("q") == 0U);
-    it.decisions.submit(bench_owner::job(2, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(2, 1), 0, it.now);
     BOOST_TEST(it.starts().size() == 1U);
     BOOST_TEST(!it.decisions.withdraw({2}));
 }
@@ -175,10 +175,10 @@
 /// retried together with the decisions that waited for it.
 BOOST_AUTO_TEST_CASE(a_rejected_batch_is_retried)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1), 0, it.now);
     BOOST_TEST(it.decide().empty());
     auto const refused = it.decisions.take_batch(it.now);
     BOOST_TEST(!it.decisions.withdraw({1}));
@@ -192,16 +192,16 @@
 
 BOOST_AUTO_TEST_CASE(a_submission_of_a_rejected_batch_can_be_withdrawn)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1), 0, it.now);
     BOOST_TEST(it.decide().empty());
     BOOST_TEST(!it.decisions.take_batch(it.now).empty());
     it.decisions.batch_not_stored();
     BOOST_TEST(it.decisions.withdraw({1}));
     BOOST_TEST(it.store().empty());
-    it.decisions.submit(bench_owner::job(2, 4), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(2, 4), 0, it.now);
     BOOST_TEST(it.starts().size() == 4U);
 }
 
@@ -234,20 +234,20 @@
 BOOST_DATA_TEST_CASE(a_successor_waits_for_a_report_before_it_restarts_a_task,
                      boost::unit_test::data::make(inherited_cases))
 {
-    bench_owner former;
+    scheduler_fixture former;
     former.list("a");
     former.report("a");
-    former.decisions.submit(bench_owner::job(1, 1), 0, former.now);
+    former.decisions.submit(scheduler_fixture::job(1, 1), 0, former.now);
     auto const start = former.starts().at(0);
 
-    bench_owner it{former.records};
+    scheduler_fixture it{former.records};
     it.list("a");
     it.list("b");
     it.report("b");
     BOOST_TEST(it.starts().empty());
     it.advance(second);
-    std::vector<scheduler::running_row> running;
-    std::vector<scheduler::ended_row> ended;
+    std::vector<scheduler::running_attempt_report> running;
+    std::vector<scheduler::ended_attempt_report> ended;
     if (sample.running)
     {
         running.push_back({start.attempt, {}, 10});
@@ -275,12 +275,12 @@
 /// start.
 BOOST_AUTO_TEST_CASE(a_pending_job_is_subtracted_once)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 1, 4'000), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1, 4'000), 0, it.now);
     auto const start = it.starts().at(0);
-    it.decisions.submit(bench_owner::job(2, 1, 4'000), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(2, 1, 4'000), 0, it.now);
     BOOST_TEST(it.decisions.pending("q") == 2U);
     it.decisions.cancel({1}, it.now);
     BOOST_TEST(it.decisions.pending("q") == 1U);
@@ -295,10 +295,10 @@
 /// row.
 BOOST_AUTO_TEST_CASE(a_repeated_end_counts_once)
 {
-    bench_owner it;
+    scheduler_fixture it;
     it.list("a");
     it.report("a");
-    it.decisions.submit(bench_owner::job(1, 1), 0, it.now);
+    it.decisions.submit(scheduler_fixture::job(1, 1), 0, it.now);
     auto const start = it.starts().at(0);
     it.confirm(start);
     it.advance(second);
--- a/tests/scheduler/preempt_test.cpp
+++ b/tests/scheduler/preempt_test.cpp
@@ -1,4 +1,4 @@
-#include "bench_owner.hpp"
+#include "scheduler_fixture.hpp"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -61,7 +61,7 @@
 BOOST_DATA_TEST_CASE(a_gang_that_would_be_late_preempts_others,
                      boost::unit_test::data::make(preempt_cases))
 {
-    bench_owner it;
+    scheduler_fixture it;
     workload::cell_configuration configuration;
     auto const target = sample.waited == early ? std::chrono::seconds{60}
                                                : std::chrono::seconds{0};
@@ -73,7 +73,7 @@
     it.list("b");
     it.report("a");
     it.report("b");
-    auto others = bench_owner::job(1, 8);
+    auto others = scheduler_fixture::job(1, 8);
     others.queue = "others";
     others.steps[0].can_checkpoint = sample.checkpoints;
     it.decisions.submit(others, 0, it.now);
@@ -83,7 +83,7 @@
     {
         it.confirm(each);
     }
-    auto gang = bench_owner::job(2, 2);
+    auto gang = scheduler_fixture::job(2, 2);
     gang.queue = "gangs";
     gang.steps[0].gang = true;
     it.decisions.submit(gang, 0, it.now);
--- a/tests/scheduler/random_test.cpp
+++ b/tests/scheduler/random_test.cpp
@@ -40,26 +40,26 @@
 constexpr std::uint64_t usual_capped_seeds = 100;
 constexpr std::uint64_t usual_crash_seeds = 50;
 
-roughness const late_and_frozen{.drain = 0.01,
-                                .freeze = 0.7,
-                                .late_append = 0.05,
-                                .twice = 0.3,
-                                .cancel_new = 0.2};
-
-roughness const capped_accounts{.drain = 0.01,
-                                .freeze = 0.7,
-                                .late_append = 0.05,
-                                .cancel_new = 0.1,
-                                .capped = 0.2};
-
-roughness const crashing_tasks{.drain = 0.01,
-                               .freeze = 0.7,
-                               .late_append = 0.05,
-                               .cancel_new = 0.1,
-                               .crashers = 0.06,
-                               .resize = 0.1};
-
-roughness rough_for(planted fault)
+fault_rates const late_and_frozen{.drain = 0.01,
+                                  .freeze = 0.7,
+                                  .late_append = 0.05,
+                                  .twice = 0.3,
+                                  .cancel_new = 0.2};
+
+fault_rates const capped_accounts{.drain = 0.01,
+                                  .freeze = 0.7,
+                                  .late_append = 0.05,
+                                  .cancel_new = 0.1,
+                                  .capped = 0.2};
+
+fault_rates const crashing_tasks{.drain = 0.01,
+                                 .freeze = 0.7,
+                                 .late_append = 0.05,
+                                 .cancel_new = 0.1,
+                                 .crashers = 0.06,
+                                 .resize = 0.1};
+
+fault_rates rough_for(planted fault)
 {
     switch (fault)
     {
@@ -84,7 +84,7 @@
 
 void play(std::uint64_t first,
           std::uint64_t seeds,
-          roughness rough,
+          fault_rates rough,
           base::duration quiet = calm)
 {
     std::uint64_t starts = 0;
@@ -150,7 +150,7 @@
 {
     auto const first = number_from("BERYLHILL_FIRST_SEED", 1);
     auto const seeds = number_from("BERYLHILL_SEEDS", usual_leaving_seeds);
-    roughness rough;
+    fault_rates rough;
     rough.drain = 0.02;
     play(first, seeds, rough);
 }
--- a/tests/scheduler/bench_owner.hpp
+++ b/tests/scheduler/scheduler_fixture.hpp
@@ -16,10 +16,11 @@
 
 /// A scheduler driven step by step: the test acts as the store and the
 /// instances.
-class bench_owner
+class scheduler_fixture
 {
 public:
-    explicit bench_owner(std::map<std::string, std::string> const& stored = {})
+    explicit scheduler_fixture(
+        std::map<std::string, std::string> const& stored = {})
         : m_log{[]
                 {
                     return 0.0;
@@ -77,8 +78,8 @@
 
     /// Delivers a report that was requested now.
     void report(std::string const& id,
-                std::vector<scheduler::running_row> running = {},
-                std::vector<scheduler::ended_row> ended = {})
+                std::vector<scheduler::running_attempt_report> running = {},
+                std::vector<scheduler::ended_attempt_report> ended = {})
     {
         decisions.hold_answered(
             {id, now, now, clock_ms(), std::move(running), std::move(ended)});
--- a/tests/scheduler/world.cpp
+++ b/tests/scheduler/world.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-world::world(std::uint64_t seed, roughness rough, planted fault)
+world::world(std::uint64_t seed, fault_rates rough, planted fault)
     : m_random{seed}
     , m_drain_random{seed}
     , m_freeze_random{seed}
@@ -121,7 +121,7 @@
 std::vector<std::string> world::run(base::duration trouble, base::duration calm)
 {
     take_over();
-    every_moment();
+    run_tick();
     auto const troubled = m_now + trouble;
     auto const until = troubled + calm;
     while (!m_events.empty() && m_now < until && m_broken.empty())
@@ -158,7 +158,7 @@
     return m_broken;
 }
 
-void world::every_moment()
+void world::run_tick()
 {
     lapse_leases();
     check_pending();
@@ -217,7 +217,7 @@
             }
         }
     }
-    after(moment, [this] { every_moment(); });
+    after(moment, [this] { run_tick(); });
 }
 
 /// The operator lowers a cap, possibly below the current usage, or restores it.
@@ -273,10 +273,11 @@
         m_crashers.insert({{spec.id, 0, 0}, 0});
     }
     m_submitted.emplace(spec.id, spec);
-    hand_in(spec);
+    submit_job(spec);
     if (chance(m_twice_random, m_rough.twice))
     {
-        after(std::chrono::milliseconds{300}, [this, spec] { hand_in(spec); });
+        after(std::chrono::milliseconds{300},
+              [this, spec] { submit_job(spec); });
     }
     if (chance(m_twice_random, m_rough.cancel_new))
     {
@@ -288,7 +289,7 @@
 }
 
 /// A client's call reaches the current owner and waits for its batch.
-void world::hand_in(workload::job_spec const& it)
+void world::submit_job(workload::job_spec const& it)
 {
     if (!m_owner->alive || m_now < m_owner->frozen_until)
     {
--- a/tests/scheduler/world.hpp
+++ b/tests/scheduler/world.hpp
@@ -54,7 +54,7 @@
 inline constexpr workload::resources whole_instance{8'000, 8'000, 0};
 
 /// The failure rates of a run.
-struct roughness
+struct fault_rates
 {
     /// Probabilities that the request or answer of an order is lost, and that
     /// an order is carried out seconds late.
@@ -91,7 +91,7 @@
 class world
 {
 public:
-    world(std::uint64_t seed, roughness rough, planted fault);
+    world(std::uint64_t seed, fault_rates rough, planted fault);
 
     /// Runs with failures for `trouble`, then without until everything has
     /// ended or `calm` has passed. Returns the violations; empty if there were
@@ -118,7 +118,7 @@
 
     struct fake_end
     {
-        scheduler::ended_row row;
+        scheduler::ended_attempt_report row;
         base::instant at{};
         /// The instance's `lapses` at that time: an end counts as acknowledged
         /// only if the lease has not expired since.
@@ -247,13 +247,13 @@
     void fenced(owner_pointer const& by);
     void freeze(owner_pointer const& it);
     void submit_something();
-    void hand_in(workload::job_spec const& it);
+    void submit_job(workload::job_spec const& it);
     void refuse_unsent(owner_pointer const& by);
     void tell(cell::batch_waiters::list const& whom);
     void note_refused(workload::job_id it);
     void cancel_something();
     void cancel(workload::job_id it);
-    void every_moment();
+    void run_tick();
     void change_cap();
 
     std::mt19937_64 m_random;
@@ -266,7 +266,7 @@
     std::mt19937_64 m_cap_random;
     std::mt19937_64 m_crash_random;
     std::mt19937_64 m_resize_random;
-    roughness m_rough;
+    fault_rates m_rough;
     planted m_fault;
     scheduler::policy m_rules;
     workload::cell_configuration m_configuration;
--- a/utilities/cell_replay/replayed_instance.hpp
+++ b/utilities/cell_replay/replayed_instance.hpp
@@ -78,7 +78,7 @@
     std::string m_id;
     double m_speed;
     std::map<scheduler::attempt_name, run> m_running;
-    std::vector<scheduler::ended_row> m_ended;
+    std::vector<scheduler::ended_attempt_report> m_ended;
     std::map<workload::task_name, std::uint32_t> m_last_run;
     std::uint64_t m_next_end{1};
 };
