--- a/libraries/cell/adapter.hpp
+++ b/libraries/cell/adapter.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include <cell/advice_link.hpp>
+#include <cell/advice_client.hpp>
 #include <cell/documents.hpp>
-#include <cell/instance_link.hpp>
+#include <cell/instance_client.hpp>
 #include <cell/job_protocol.hpp>
 #include <cell/keyed_log.hpp>
 #include <network/http_client.hpp>
@@ -23,8 +23,8 @@
     std::unique_ptr<keyed_log> operator_log;
     /// The entries that instances write about themselves.
     std::unique_ptr<keyed_log> instance_log;
-    std::unique_ptr<instance_link> orders;
-    std::unique_ptr<advice_link> advice;
+    std::unique_ptr<instance_client> orders;
+    std::unique_ptr<advice_client> advice;
     std::unique_ptr<documents> decoder;
     std::unique_ptr<job_protocol> jobs;
 };
--- a/libraries/cell/advice_link.hpp
+++ b/libraries/cell/advice_client.hpp
@@ -22,13 +22,13 @@
 
 /// Client of the service that knows which instances may run a step. The service
 /// handles one request at a time for each client machine.
-class advice_link
+class advice_client
 {
 public:
-    advice_link() = default;
-    advice_link(advice_link const&) = delete;
-    advice_link& operator=(advice_link const&) = delete;
-    virtual ~advice_link() = default;
+    advice_client() = default;
+    advice_client(advice_client const&) = delete;
+    advice_client& operator=(advice_client const&) = delete;
+    virtual ~advice_client() = default;
 
     /// `handler` is called once, on the event loop, at most `timeout` after the
     /// call.
--- a/libraries/cell/advice_dispatcher.cpp
+++ b/libraries/cell/advice_dispatcher.cpp
@@ -20,7 +20,7 @@
 } // namespace
 
 advice_dispatcher::advice_dispatcher(base::clock const& clock,
-                                     advice_link& own,
+                                     advice_client& own,
                                      peer_client& peers,
                                      peers_function others)
     : m_clock{clock}
--- a/libraries/cell/advice_dispatcher.hpp
+++ b/libraries/cell/advice_dispatcher.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <cell/advice_link.hpp>
+#include <cell/advice_client.hpp>
 #include <cell/advice_queue.hpp>
 #include <cell/peer.hpp>
 #include <cell/peer_client.hpp>
@@ -25,7 +25,7 @@
     using peers_function = std::function<std::vector<peer>()>;
 
     advice_dispatcher(base::clock const& clock,
-                      advice_link& own,
+                      advice_client& own,
                       peer_client& peers,
                       peers_function others);
 
@@ -50,7 +50,7 @@
                   advice_result const& result);
 
     base::clock const& m_clock;
-    advice_link& m_own;
+    advice_client& m_own;
     peer_client& m_peers;
     peers_function m_others;
     advice_queue m_queue;
--- a/libraries/cell/advice_queue.cpp
+++ b/libraries/cell/advice_queue.cpp
@@ -61,11 +61,11 @@
 
 /// Returns the free process with the fewest requests in flight, the first of
 /// equals; null if none is free.
-advice_queue::known_machine* advice_queue::least_busy(std::size_t from,
-                                                      bool takes_long,
-                                                      base::instant now) const
+advice_queue::sender_entry* advice_queue::least_busy(std::size_t from,
+                                                     bool takes_long,
+                                                     base::instant now) const
 {
-    known_machine* best = nullptr;
+    sender_entry* best = nullptr;
     auto least = max_short_requests;
     for (auto n = from; n < m_candidates.size(); ++n)
     {
--- a/libraries/cell/advice_queue.hpp
+++ b/libraries/cell/advice_queue.hpp
@@ -75,10 +75,10 @@
     [[nodiscard]] bool
     is_free(machine const& it, bool takes_long, base::instant now) const;
     using machines = std::map<network::socket_address, machine>;
-    using known_machine = machines::value_type;
+    using sender_entry = machines::value_type;
 
     void set_senders(std::vector<peer> const& others);
-    [[nodiscard]] known_machine*
+    [[nodiscard]] sender_entry*
     least_busy(std::size_t from, bool takes_long, base::instant now) const;
 
     std::map<turn, base::duration> m_waiting;
@@ -86,7 +86,7 @@
     std::vector<peer> m_others;
     /// The live processes in order of preference. Pointers avoid a lookup by
     /// address for each request.
-    std::vector<known_machine*> m_candidates;
+    std::vector<sender_entry*> m_candidates;
     std::size_t m_requests_in_flight{0};
 };
 
--- a/libraries/cell/cell_owner.cpp
+++ b/libraries/cell/cell_owner.cpp
@@ -22,7 +22,7 @@
 
 /// The instance log changes with each heartbeat; this limits how often it is
 /// read.
-constexpr follow_options instances_pace{
+constexpr follow_options instances_follow_options{
     std::chrono::milliseconds{500}, std::chrono::milliseconds{250},
     std::chrono::milliseconds{700}, std::chrono::milliseconds{100}};
 
@@ -48,7 +48,7 @@
     , m_on_ownership_lost{std::move(on_ownership_lost)}
     , m_append{*parts.loop, *parts.clock, *parts.cell, *parts.latency}
     , m_instances{*parts.loop, *parts.clock, *parts.instances, "instances",
-                  instances_pace}
+                  instances_follow_options}
     , m_tick{*parts.loop}
     , m_round{*parts.loop}
 {
--- a/libraries/cell/cell_owner.hpp
+++ b/libraries/cell/cell_owner.hpp
@@ -4,11 +4,11 @@
 #include <cell/batch_waiters.hpp>
 #include <cell/documents.hpp>
 #include <cell/hold_list.hpp>
-#include <cell/instance_link.hpp>
+#include <cell/instance_client.hpp>
 #include <cell/job_call.hpp>
 #include <cell/log_follower.hpp>
 #include <cell/reliable_append.hpp>
-#include <cell/round_pace.hpp>
+#include <cell/round_throttle.hpp>
 #include <scheduler/scheduler.hpp>
 
 #include <boost/asio/io_context.hpp>
@@ -32,7 +32,7 @@
     base::clock const* clock{nullptr};
     keyed_log* cell{nullptr};
     keyed_log* instances{nullptr};
-    instance_link* orders{nullptr};
+    instance_client* orders{nullptr};
     advice_dispatcher* advice{nullptr};
     documents const* reader{nullptr};
     scheduler::decision_log* log{nullptr};
@@ -138,7 +138,7 @@
     log_follower m_instances;
     boost::asio::steady_timer m_tick;
     boost::asio::steady_timer m_round;
-    round_pace m_pace;
+    round_throttle m_pace;
     std::shared_ptr<bool> m_alive{std::make_shared<bool>(true)};
     hold_list m_holds;
     std::uint64_t m_batches_taken{0};
--- a/libraries/cell/cell_owner_orders.cpp
+++ b/libraries/cell/cell_owner_orders.cpp
@@ -69,24 +69,24 @@
 {
     m_parts.orders->stop(target(it.instance), it.attempt, stop_timeout,
                          [this, alive = m_alive, id = it.instance,
-                          name = it.attempt](order_end end)
+                          name = it.attempt](order_outcome end)
                          {
                              if (!*alive || m_lost)
                              {
                                  return;
                              }
-                             if (end == order_end::fenced)
+                             if (end == order_outcome::fenced)
                              {
                                  ownership_lost("stop_fenced");
                                  return;
                              }
                              auto const now = m_parts.clock->now();
-                             if (end == order_end::other_incarnation)
+                             if (end == order_outcome::other_incarnation)
                              {
                                  m_decisions.instance_replaced(id, now);
                              }
                              m_decisions.stop_answered(
-                                 id, name, end == order_end::done, now);
+                                 id, name, end == order_outcome::done, now);
                              schedule_round();
                          });
 }
@@ -171,7 +171,7 @@
     auto const now = m_parts.clock->now();
     switch (it.outcome)
     {
-    case order_end::done:
+    case order_outcome::done:
         it.report.instance = id;
         it.report.sent_at = sent_at;
         it.report.read_at = now;
@@ -180,15 +180,15 @@
                          it.report.ended.empty() ? 0 : m_batches_taken + 1,
                          m_decisions.hold_interval(id));
         break;
-    case order_end::fenced:
+    case order_outcome::fenced:
         ownership_lost("hold_fenced");
         return;
-    case order_end::other_incarnation:
+    case order_outcome::other_incarnation:
         m_decisions.instance_replaced(id, now);
         m_holds.failed(id, now);
         break;
-    case order_end::refused:
-    case order_end::unanswered:
+    case order_outcome::refused:
+    case order_outcome::unanswered:
         m_decisions.hold_unanswered(id, now);
         m_holds.failed(id, now);
         break;
--- a/libraries/cell/configuration_spread.cpp
+++ b/libraries/cell/configuration_propagation.cpp
@@ -1,4 +1,4 @@
-#include <cell/configuration_spread.hpp>
+#include <cell/configuration_propagation.hpp>
 
 #include <algorithm>
 
@@ -24,20 +24,20 @@
 
 } // namespace
 
-configuration_spread::configuration_spread()
+configuration_propagation::configuration_propagation()
     : m_fetch_timeout{min_fetch_timeout}
 {
 }
 
-void configuration_spread::confirm(base::instant at)
+void configuration_propagation::confirm(base::instant at)
 {
     m_confirmed_at = std::max(m_confirmed_at.value_or(at), at);
 }
 
-bool configuration_spread::on_version_heard(configuration_age const& it,
-                                            base::instant asked_at,
-                                            std::int64_t own,
-                                            base::instant now)
+bool configuration_propagation::on_version_heard(configuration_age const& it,
+                                                 base::instant asked_at,
+                                                 std::int64_t own,
+                                                 base::instant now)
 {
     if (it.version == own && own != 0)
     {
@@ -46,9 +46,9 @@
     return on_version_heard(it.version, own, now);
 }
 
-bool configuration_spread::on_version_heard(std::int64_t version,
-                                            std::int64_t own,
-                                            base::instant now)
+bool configuration_propagation::on_version_heard(std::int64_t version,
+                                                 std::int64_t own,
+                                                 base::instant now)
 {
     if (version <= own)
     {
@@ -65,20 +65,20 @@
     return true;
 }
 
-void configuration_spread::on_fetch_ended(fetch_end it)
+void configuration_propagation::on_fetch_ended(fetch_outcome it)
 {
     m_fetching = false;
-    if (it == fetch_end::received)
+    if (it == fetch_outcome::received)
     {
         m_fetch_timeout = min_fetch_timeout;
     }
-    if (it == fetch_end::failed)
+    if (it == fetch_outcome::failed)
     {
         m_fetch_timeout = std::min(2 * m_fetch_timeout, max_fetch_timeout);
     }
 }
 
-void configuration_spread::on_version_installed(std::int64_t version)
+void configuration_propagation::on_version_installed(std::int64_t version)
 {
     if (version >= m_newest)
     {
@@ -86,12 +86,12 @@
     }
 }
 
-base::duration configuration_spread::behind(base::instant now) const
+base::duration configuration_propagation::behind(base::instant now) const
 {
     return m_behind_since ? now - *m_behind_since : base::duration{0};
 }
 
-base::duration configuration_spread::age(base::instant now) const
+base::duration configuration_propagation::age(base::instant now) const
 {
     return m_confirmed_at ? now - *m_confirmed_at : unconfirmed_age;
 }
--- a/libraries/cell/configuration_spread.hpp
+++ b/libraries/cell/configuration_propagation.hpp
@@ -8,7 +8,7 @@
 namespace berylhill::cell
 {
 
-enum class fetch_end : std::uint8_t
+enum class fetch_outcome : std::uint8_t
 {
     received,
     /// The process was not reached, or already sends as many copies as it may.
@@ -26,10 +26,10 @@
 /// version there within milliseconds and fetches nothing.
 ///
 /// Pure. Not thread-safe.
-class configuration_spread
+class configuration_propagation
 {
 public:
-    configuration_spread();
+    configuration_propagation();
 
     /// A read reached the end of the operators' log: this process had the
     /// newest version at `as_of`.
@@ -52,7 +52,7 @@
                                         base::instant now);
 
     /// A fetch has ended.
-    void on_fetch_ended(fetch_end it);
+    void on_fetch_ended(fetch_outcome it);
 
     /// How long to wait for the first byte of a fetch's answer.
     [[nodiscard]] base::duration fetch_timeout() const noexcept
--- a/libraries/cell/hold_list.hpp
+++ b/libraries/cell/hold_list.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <cell/hold_turn.hpp>
+#include <cell/hold_schedule.hpp>
 
 #include <cstdint>
 #include <functional>
@@ -67,7 +67,7 @@
     void wake(std::string const& id);
 
 private:
-    std::map<std::string, hold_turn> m_schedules;
+    std::map<std::string, hold_schedule> m_schedules;
     /// Instances without a request in flight.
     std::set<std::string> m_idle;
 };
--- a/libraries/cell/hold_turn.hpp
+++ b/libraries/cell/hold_schedule.hpp
@@ -13,7 +13,7 @@
 /// waits until it can confirm them. This keeps the number of requests, which
 /// are billed, low at hundreds of ended attempts a second on instances that run
 /// eight tasks each. Pure. Not thread-safe.
-class hold_turn
+class hold_schedule
 {
 public:
     /// `stored` is the number of batches stored so far.
--- a/libraries/cell/instance_link.hpp
+++ b/libraries/cell/instance_client.hpp
@@ -32,7 +32,7 @@
     std::int64_t clock_ms{0};
 };
 
-enum class order_end : std::uint8_t
+enum class order_outcome : std::uint8_t
 {
     done,
     fenced,
@@ -43,24 +43,24 @@
 
 struct hold_result
 {
-    order_end outcome{order_end::unanswered};
+    order_outcome outcome{order_outcome::unanswered};
     /// Without times, which the caller fills in.
     scheduler::hold_report report;
 };
 
 using start_handler = std::function<void(start_result const&)>;
-using order_handler = std::function<void(order_end)>;
+using order_handler = std::function<void(order_outcome)>;
 using hold_handler = std::function<void(hold_result)>;
 
 /// Sends orders to the instances that run tasks. Each handler is called once,
 /// on the event loop, at most `timeout` after the call.
-class instance_link
+class instance_client
 {
 public:
-    instance_link() = default;
-    instance_link(instance_link const&) = delete;
-    instance_link& operator=(instance_link const&) = delete;
-    virtual ~instance_link() = default;
+    instance_client() = default;
+    instance_client(instance_client const&) = delete;
+    instance_client& operator=(instance_client const&) = delete;
+    virtual ~instance_client() = default;
 
     virtual void start(order_target const& to,
                        scheduler::start_order const& it,
--- a/libraries/cell/job_protocol.hpp
+++ b/libraries/cell/job_protocol.hpp
@@ -12,7 +12,7 @@
 {
 
 /// Why a request is refused.
-enum class refusal_ground : std::uint8_t
+enum class refusal_reason : std::uint8_t
 {
     /// The request itself is invalid.
     request,
@@ -23,7 +23,7 @@
 /// A request that does not lead to a call. A value.
 struct refused_request
 {
-    refusal_ground reason{refusal_ground::request};
+    refusal_reason reason{refusal_reason::request};
     network::http_response response;
     /// A hash of an unknown API key, so that the caller can be identified in
     /// the log without the key; empty if the request had none.
--- a/libraries/cell/keyed_log.hpp
+++ b/libraries/cell/keyed_log.hpp
@@ -22,7 +22,7 @@
     friend bool operator==(log_entry const&, log_entry const&) = default;
 };
 
-enum class append_end : std::uint8_t
+enum class append_outcome : std::uint8_t
 {
     stored,
     /// The log does not end at the given offset.
@@ -37,7 +37,7 @@
 
 struct append_result
 {
-    append_end outcome{append_end::unanswered};
+    append_outcome outcome{append_outcome::unanswered};
     /// Offset of the first record, if stored.
     std::uint64_t offset{0};
     /// End offset of the log, if known.
@@ -47,7 +47,7 @@
                            append_result const&) = default;
 };
 
-enum class read_end : std::uint8_t
+enum class read_outcome : std::uint8_t
 {
     read,
     /// The records at the offset have been deleted.
@@ -59,7 +59,7 @@
 };
 
 /// A read request. A value.
-struct read_question
+struct read_request
 {
     /// The first offset.
     std::uint64_t from{0};
@@ -70,13 +70,12 @@
     /// Timeouts of the call.
     network::call_patience timeouts{base::duration{0}};
 
-    friend bool operator==(read_question const&,
-                           read_question const&) = default;
+    friend bool operator==(read_request const&, read_request const&) = default;
 };
 
 struct read_result
 {
-    read_end outcome{read_end::failed};
+    read_outcome outcome{read_outcome::failed};
     std::uint64_t log_end{0};
     std::vector<log_entry> entries;
     /// HTTP status of the answer, for logs; 0: no answer.
@@ -122,7 +121,7 @@
                         base::duration timeout,
                         append_handler handler) = 0;
 
-    virtual network::call_handle read(read_question const& it,
+    virtual network::call_handle read(read_request const& it,
                                       read_handler handler) = 0;
 
     /// Reads one page of the newest records: those of the keys after `after`.
--- a/libraries/cell/log_follower.cpp
+++ b/libraries/cell/log_follower.cpp
@@ -185,7 +185,7 @@
 {
     auto done = std::exchange(m_catching_up, nullptr);
     auto& result = it.result;
-    if (result.outcome == read_end::trimmed)
+    if (result.outcome == read_outcome::trimmed)
     {
         base::log(base::log_level::info, "log_trimmed",
                   {{"log", m_name}, {"next", m_next}});
@@ -196,7 +196,7 @@
         }
         return;
     }
-    if (result.outcome != read_end::read)
+    if (result.outcome != read_outcome::read)
     {
         failed("read", result.http_status, result.bytes_received);
         run_after(m_options.retry, [this] { read_tail(m_options.wait); });
--- a/libraries/cell/node.cpp
+++ b/libraries/cell/node.cpp
@@ -34,7 +34,7 @@
 
 /// A new configuration must be in force within seconds, even if a connection to
 /// the store goes silent.
-constexpr follow_options operators_pace{
+constexpr follow_options operators_follow_options{
     std::chrono::milliseconds{700}, std::chrono::milliseconds{20},
     std::chrono::milliseconds{350}, std::chrono::milliseconds{120}};
 
@@ -132,7 +132,7 @@
                    return true;
                }}
     , m_operators{m_loop, m_clock, *m_adapter.operator_log, "operators",
-                  operators_pace}
+                  operators_follow_options}
     , m_callers{m_loop,
                 [this](auto it, auto answer)
                 {
--- a/libraries/cell/node.hpp
+++ b/libraries/cell/node.hpp
@@ -5,7 +5,7 @@
 #include <cell/byte_budget.hpp>
 #include <cell/call_router.hpp>
 #include <cell/cell_owner.hpp>
-#include <cell/configuration_spread.hpp>
+#include <cell/configuration_propagation.hpp>
 #include <cell/loop_lag.hpp>
 #include <cell/node_metrics.hpp>
 #include <cell/ownership.hpp>
@@ -61,7 +61,7 @@
     compressed_configuration() override;
     [[nodiscard]] bool owns() const override;
     void call_owner(job_call const& it, job_answer_handler done) override;
-    void advise(advice_question const& it, advice_handler done) override;
+    void advise(advice_request const& it, advice_handler done) override;
 
 private:
     [[nodiscard]] scheduler::policy policy() const;
@@ -132,7 +132,7 @@
     /// The record, compressed; empty until it is requested.
     std::string m_compressed_configuration;
     byte_budget m_copy_budget;
-    configuration_spread m_propagation;
+    configuration_propagation m_propagation;
     std::unique_ptr<cell_owner> m_owner;
     base::instant m_owns_since{};
     base::instant m_stop_at{};
--- a/libraries/cell/node_answers.cpp
+++ b/libraries/cell/node_answers.cpp
@@ -103,7 +103,7 @@
     done({end, {}, 0, {}});
 }
 
-void node::advise(advice_question const& it, advice_handler done)
+void node::advise(advice_request const& it, advice_handler done)
 {
     auto const name = base::capture(
         [&] { return workload::parse_task_name(it.step + ".0"); });
@@ -152,7 +152,7 @@
                   refused_request it,
                   network::responder const& answer)
 {
-    if (it.reason == refusal_ground::configuration && !sure_of_configuration())
+    if (it.reason == refusal_reason::configuration && !sure_of_configuration())
     {
         it.response = {status_unavailable, {{"Retry-After", "1"}}, {}};
     }
--- a/libraries/cell/node_configuration.cpp
+++ b/libraries/cell/node_configuration.cpp
@@ -13,14 +13,14 @@
 /// A copy that makes no progress for this long is on a silent connection.
 constexpr base::duration copy_stall = std::chrono::seconds{1};
 
-fetch_end end_of(peer_result<configuration_record> const& it)
+fetch_outcome end_of(peer_result<configuration_record> const& it)
 {
     if (it.answer)
     {
-        return fetch_end::received;
+        return fetch_outcome::received;
     }
-    return it.end == network::call_end::not_sent ? fetch_end::rejected
-                                                 : fetch_end::failed;
+    return it.end == network::call_end::not_sent ? fetch_outcome::rejected
+                                                 : fetch_outcome::failed;
 }
 
 } // namespace
@@ -158,12 +158,13 @@
         {
             auto const end = end_of(it);
             m_propagation.on_fetch_ended(end);
-            if (end != fetch_end::received)
+            if (end != fetch_outcome::received)
             {
-                base::log(base::log_level::info, "configuration_unfetched",
-                          {{"peer", text_of(from)},
-                           {"turned_away", end == fetch_end::rejected ? 1 : 0},
-                           {"received", it.received}});
+                base::log(
+                    base::log_level::info, "configuration_unfetched",
+                    {{"peer", text_of(from)},
+                     {"turned_away", end == fetch_outcome::rejected ? 1 : 0},
+                     {"received", it.received}});
                 return;
             }
             configuration_changed(it.answer->key, it.answer->value, "peer");
--- a/libraries/cell/ownership.cpp
+++ b/libraries/cell/ownership.cpp
@@ -12,7 +12,7 @@
 
 /// How often standbys read the cell's log. They need its records only when they
 /// claim, and then read what is missing.
-constexpr follow_options standby_pace{
+constexpr follow_options standby_follow_options{
     std::chrono::milliseconds{0}, std::chrono::milliseconds{500},
     std::chrono::milliseconds{400}, std::chrono::milliseconds{250}};
 
@@ -36,7 +36,7 @@
     , m_incarnation{std::move(incarnation)}
     , m_listener{told}
     , m_lookup{cell}
-    , m_follower{loop, clock, cell, "cell", standby_pace}
+    , m_follower{loop, clock, cell, "cell", standby_follow_options}
     , m_append{loop, clock, cell, latency}
     , m_timer{loop}
 {
--- a/libraries/cell/ownership.hpp
+++ b/libraries/cell/ownership.hpp
@@ -157,7 +157,7 @@
     void suspected();
     void probe_owner_again();
     void claim(char const* why);
-    void look_before_claim();
+    void check_owner_before_claim();
     void claim_now();
     void claimed(reliable_append_outcome it,
                  owner_view const& mine,
--- a/libraries/cell/ownership_claim.cpp
+++ b/libraries/cell/ownership_claim.cpp
@@ -88,14 +88,14 @@
                              {"former", m_owner.instance},
                              {"former_token", m_owner.token}});
                   m_claim_began = m_clock.now();
-                  look_before_claim();
+                  check_owner_before_claim();
               });
 }
 
 /// Another process may have claimed while this one waited. A process that does
 /// not follow the log would notice that only after reading all its records, and
 /// dozens that do so at once occupy the links of small machines for seconds.
-void ownership::look_before_claim()
+void ownership::check_owner_before_claim()
 {
     if (m_follower.running())
     {
--- a/libraries/cell/peer_client.cpp
+++ b/libraries/cell/peer_client.cpp
@@ -84,7 +84,7 @@
 }
 
 void peer_client::watch(network::socket_address const& to,
-                        watch_question const& question,
+                        watch_request const& question,
                         base::duration wait,
                         base::duration timeout,
                         std::function<void(peer_result<watch_answer>)> done)
@@ -152,7 +152,7 @@
                          advice_handler done)
 {
     send(to, std::string{peer_paths::advise},
-         text_of(advice_question{text_of(step), instances, timeout}), timeout,
+         text_of(advice_request{text_of(step), instances, timeout}), timeout,
          [done = std::move(done)](network::call_result const& result)
          {
              auto const read =
--- a/libraries/cell/peer_client.hpp
+++ b/libraries/cell/peer_client.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <cell/advice_link.hpp>
+#include <cell/advice_client.hpp>
 #include <cell/job_call.hpp>
 #include <cell/peer_messages.hpp>
 #include <network/http_client.hpp>
@@ -35,7 +35,7 @@
     /// Asks who owns the work. The other process answers after `wait`, or as
     /// soon as it releases ownership.
     void watch(network::socket_address const& to,
-               watch_question const& question,
+               watch_request const& question,
                base::duration wait,
                base::duration timeout,
                std::function<void(peer_result<watch_answer>)> done);
--- a/libraries/cell/peer_messages.cpp
+++ b/libraries/cell/peer_messages.cpp
@@ -137,7 +137,7 @@
 }
 
 /// The members of `from` and the digest are in the same object.
-std::string text_of(watch_question const& it)
+std::string text_of(watch_request const& it)
 {
     auto out = object_of(it.from);
     out["known"] = it.known;
@@ -145,11 +145,11 @@
     return json::serialize(out);
 }
 
-base::result<watch_question> parse_watch_question(std::string_view text)
+base::result<watch_request> parse_watch_request(std::string_view text)
 {
     BOOST_LEAF_AUTO(root, json_codec::parse(text));
-    return watch_question{peer_in(root), json_codec::number_or(root, "known"),
-                          configuration_in(root)};
+    return watch_request{peer_in(root), json_codec::number_or(root, "known"),
+                         configuration_in(root)};
 }
 
 std::string text_of(configuration_record const& it)
@@ -230,7 +230,7 @@
     return out;
 }
 
-std::string text_of(advice_question const& it)
+std::string text_of(advice_request const& it)
 {
     return json::serialize(json::object{
         {"step", it.step},
@@ -238,10 +238,10 @@
         {"timeout", it.timeout.count()}});
 }
 
-base::result<advice_question> parse_advice_question(std::string_view text)
+base::result<advice_request> parse_advice_request(std::string_view text)
 {
     BOOST_LEAF_AUTO(root, json_codec::parse(text));
-    advice_question out;
+    advice_request out;
     out.step = json_codec::text_or(root, "step");
     for (auto const& it : json_codec::array_or_empty(root, "instances"))
     {
--- a/libraries/cell/peer_messages.hpp
+++ b/libraries/cell/peer_messages.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <base/result.hpp>
-#include <cell/advice_link.hpp>
+#include <cell/advice_client.hpp>
 #include <cell/configuration_state.hpp>
 #include <cell/job_call.hpp>
 #include <cell/peer_list.hpp>
@@ -47,20 +47,20 @@
 [[nodiscard]] base::result<watch_answer> parse_watch(std::string_view text);
 
 /// The body of a watch request. A value.
-struct watch_question
+struct watch_request
 {
     peer from;
     /// The digest of the peers that the sender knows.
     std::int64_t known{0};
     configuration_age configuration;
 
-    friend bool operator==(watch_question const&,
-                           watch_question const&) = default;
+    friend bool operator==(watch_request const&,
+                           watch_request const&) = default;
 };
 
-[[nodiscard]] std::string text_of(watch_question const& it);
-[[nodiscard]] base::result<watch_question>
-parse_watch_question(std::string_view text);
+[[nodiscard]] std::string text_of(watch_request const& it);
+[[nodiscard]] base::result<watch_request>
+parse_watch_request(std::string_view text);
 
 [[nodiscard]] std::string text_of(configuration_record const& it);
 [[nodiscard]] base::result<configuration_record>
@@ -73,19 +73,19 @@
 [[nodiscard]] base::result<job_answer> parse_job_answer(std::string_view text);
 
 /// An advice request that one process sends on behalf of another. A value.
-struct advice_question
+struct advice_request
 {
     std::string step;
     std::vector<std::string> instances;
     base::duration timeout{0};
 
-    friend bool operator==(advice_question const&,
-                           advice_question const&) = default;
+    friend bool operator==(advice_request const&,
+                           advice_request const&) = default;
 };
 
-[[nodiscard]] std::string text_of(advice_question const& it);
-[[nodiscard]] base::result<advice_question>
-parse_advice_question(std::string_view text);
+[[nodiscard]] std::string text_of(advice_request const& it);
+[[nodiscard]] base::result<advice_request>
+parse_advice_request(std::string_view text);
 
 [[nodiscard]] std::string text_of(advice_result const& it);
 [[nodiscard]] base::result<advice_result>
--- a/libraries/cell/peer_service.cpp
+++ b/libraries/cell/peer_service.cpp
@@ -112,7 +112,7 @@
                          network::responder answer)
 {
     auto const from =
-        base::capture([&] { return parse_watch_question(it.body); });
+        base::capture([&] { return parse_watch_request(it.body); });
     if (!from)
     {
         refuse(answer, from.error());
@@ -178,7 +178,7 @@
                           network::responder answer)
 {
     auto const question =
-        base::capture([&] { return parse_advice_question(it.body); });
+        base::capture([&] { return parse_advice_request(it.body); });
     if (!question)
     {
         refuse(answer, question.error());
@@ -203,7 +203,7 @@
     m_backend.on_owner_reported(read.value());
 }
 
-network::http_response peer_service::watch_response(watch_question const& to)
+network::http_response peer_service::watch_response(watch_request const& to)
 {
     auto out = m_backend.view();
     if (m_backend.owns())
--- a/libraries/cell/peer_service.hpp
+++ b/libraries/cell/peer_service.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <base/time.hpp>
-#include <cell/advice_link.hpp>
+#include <cell/advice_client.hpp>
 #include <cell/job_call.hpp>
 #include <cell/ownership.hpp>
 #include <cell/peer_messages.hpp>
@@ -49,7 +49,7 @@
         /// Precondition: `owns()`.
         virtual void call_owner(job_call const& it,
                                 job_answer_handler done) = 0;
-        virtual void advise(advice_question const& it, advice_handler done) = 0;
+        virtual void advise(advice_request const& it, advice_handler done) = 0;
     };
 
     peer_service(boost::asio::io_context& loop,
@@ -72,7 +72,7 @@
     {
         network::responder answer;
         base::instant until;
-        watch_question from;
+        watch_request from;
     };
 
     void watch(network::http_request const& it, network::responder answer);
@@ -82,7 +82,7 @@
     void advise(network::http_request const& it, network::responder answer);
     void owner(network::http_request const& it, network::responder answer);
     [[nodiscard]] network::http_response
-    watch_response(watch_question const& to);
+    watch_response(watch_request const& to);
     void refresh_watchers();
     [[nodiscard]] base::duration watcher_lifetime() const;
     void every_tick();
--- a/libraries/cell/reliable_append.cpp
+++ b/libraries/cell/reliable_append.cpp
@@ -198,16 +198,16 @@
 void reliable_append::answered(append_result const& it, base::instant sent_at)
 {
     --m_awaiting;
-    if (it.outcome != append_end::unanswered)
+    if (it.outcome != append_outcome::unanswered)
     {
         m_latency.measured(m_clock.now() - sent_at);
     }
     switch (it.outcome)
     {
-    case append_end::stored:
+    case append_outcome::stored:
         finish(reliable_append_outcome::stored);
         return;
-    case append_end::conflict:
+    case append_outcome::conflict:
         m_maybe_stored = true;
         if (it.log_end < m_at)
         {
@@ -221,21 +221,21 @@
             read_back();
         }
         return;
-    case append_end::unanswered:
+    case append_outcome::unanswered:
         m_maybe_stored = true;
         if (m_awaiting == 0 && !m_reading_back)
         {
             repeat(sent_at);
         }
         return;
-    case append_end::refused:
-    case append_end::full:
+    case append_outcome::refused:
+    case append_outcome::full:
         ++m_refusals;
-        if (m_tries == 1 || it.outcome == append_end::full)
+        if (m_tries == 1 || it.outcome == append_outcome::full)
         {
             base::log(base::log_level::warning, "append_refused",
                       {{"at", m_at},
-                       {"full", it.outcome == append_end::full ? 1 : 0}});
+                       {"full", it.outcome == append_outcome::full ? 1 : 0}});
         }
         if (m_awaiting == 0 && !m_reading_back)
         {
@@ -276,7 +276,7 @@
 
 void reliable_append::read_back_done(read_result const& it)
 {
-    if (it.outcome == read_end::trimmed)
+    if (it.outcome == read_outcome::trimmed)
     {
         // The store has deleted these records: whether they took effect depends
         // on the newest records of their keys, and another writer's claim would
@@ -284,7 +284,7 @@
         finish(reliable_append_outcome::unknown);
         return;
     }
-    if (it.outcome != read_end::read)
+    if (it.outcome != read_outcome::read)
     {
         if (limit_exceeded())
         {
--- a/libraries/cell/reliable_read.cpp
+++ b/libraries/cell/reliable_read.cpp
@@ -136,8 +136,8 @@
                              base::duration wait)
 {
     --m_awaiting;
-    auto const nothing =
-        it.outcome == read_end::failed || it.outcome == read_end::unanswered;
+    auto const nothing = it.outcome == read_outcome::failed ||
+                         it.outcome == read_outcome::unanswered;
     if (nothing && m_awaiting > 0)
     {
         return;
@@ -146,7 +146,7 @@
     {
         update_slack(m_clock.now() - asked_at - wait);
     }
-    auto const idle = it.outcome == read_end::read && it.entries.empty();
+    auto const idle = it.outcome == read_outcome::read && it.entries.empty();
     finish(std::move(it), idle ? asked_at + wait : asked_at);
 }
 
--- a/libraries/cell/round_pace.cpp
+++ b/libraries/cell/round_throttle.cpp
@@ -1,4 +1,4 @@
-#include <cell/round_pace.hpp>
+#include <cell/round_throttle.hpp>
 
 #include <algorithm>
 
@@ -22,7 +22,7 @@
 
 } // namespace
 
-void round_pace::ended(base::instant now)
+void round_throttle::ended(base::instant now)
 {
     auto const rest =
         std::min<base::duration>(pause_factor * (now - m_began), max_pause);
--- a/libraries/cell/round_pace.hpp
+++ b/libraries/cell/round_throttle.hpp
@@ -12,7 +12,7 @@
 /// Without this limit, when there is more to decide than the instance's
 /// processor can handle, rounds follow each other immediately and callers whose
 /// answers are ready wait behind them. Pure. Not thread-safe.
-class round_pace
+class round_throttle
 {
 public:
     void began(base::instant now)
--- a/tests/cell/advice_dispatcher_test.cpp
+++ b/tests/cell/advice_dispatcher_test.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-class manual_advice_service final : public cell::advice_link
+class manual_advice_service final : public cell::advice_client
 {
 public:
     void ask(workload::step_name const& step,
--- a/tests/cell/configuration_spread_test.cpp
+++ b/tests/cell/configuration_propagation_test.cpp
@@ -1,4 +1,4 @@
-#include <cell/configuration_spread.hpp>
+#include <cell/configuration_propagation.hpp>
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -43,14 +43,14 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(configuration_spread)
+BOOST_AUTO_TEST_SUITE(configuration_propagation)
 
 /// Guards against a process that serves a removed key for as long as it cannot
 /// read the store, because no other process tells it of the newer version.
 BOOST_DATA_TEST_CASE(process_with_an_older_version_fetches,
                      boost::unit_test::data::make(cases))
 {
-    cell::configuration_spread it;
+    cell::configuration_propagation it;
     base::instant now{std::chrono::seconds{100}};
     it.on_store_read(now);
     now += sample.unread;
@@ -62,7 +62,7 @@
     BOOST_TEST(it.on_version_heard(sample.theirs, own, now) == sample.fetches);
     // Only one fetch at a time.
     BOOST_TEST(!it.on_version_heard(sample.theirs, own, now));
-    it.on_fetch_ended(cell::fetch_end::received);
+    it.on_fetch_ended(cell::fetch_outcome::received);
     BOOST_TEST(it.on_version_heard(sample.theirs, own, now) == sample.fetches);
 }
 
@@ -71,7 +71,7 @@
 /// process's.
 BOOST_AUTO_TEST_CASE(confirmation_is_as_old_as_reported)
 {
-    cell::configuration_spread it;
+    cell::configuration_propagation it;
     base::instant const now{std::chrono::seconds{100}};
     BOOST_TEST((it.age(now) > std::chrono::minutes{1}));
     BOOST_TEST(!it.on_version_heard({own, milliseconds{400}}, now, own, now));
@@ -86,8 +86,8 @@
 BOOST_AUTO_TEST_CASE(age_does_not_shrink_between_processes)
 {
     constexpr milliseconds under_way{300};
-    cell::configuration_spread one;
-    cell::configuration_spread other;
+    cell::configuration_propagation one;
+    cell::configuration_propagation other;
     base::instant const read_at{std::chrono::seconds{100}};
     base::instant now = read_at;
     one.on_store_read(read_at);
@@ -107,7 +107,7 @@
 /// fetched.
 BOOST_AUTO_TEST_CASE(newer_version_is_not_forgotten_after_a_read)
 {
-    cell::configuration_spread it;
+    cell::configuration_propagation it;
     base::instant now{std::chrono::seconds{100}};
     it.on_store_read(now);
     BOOST_TEST(!it.on_version_heard(own + 1, own, now));
@@ -123,13 +123,13 @@
 /// a fetch.
 BOOST_AUTO_TEST_CASE(failed_fetch_doubles_the_timeout)
 {
-    cell::configuration_spread it;
+    cell::configuration_propagation it;
     auto const first = it.fetch_timeout();
-    it.on_fetch_ended(cell::fetch_end::failed);
+    it.on_fetch_ended(cell::fetch_outcome::failed);
     BOOST_TEST((it.fetch_timeout() == 2 * first));
-    it.on_fetch_ended(cell::fetch_end::rejected);
+    it.on_fetch_ended(cell::fetch_outcome::rejected);
     BOOST_TEST((it.fetch_timeout() == 2 * first));
-    it.on_fetch_ended(cell::fetch_end::received);
+    it.on_fetch_ended(cell::fetch_outcome::received);
     BOOST_TEST((it.fetch_timeout() == first));
 }
 
--- a/tests/cell/configuration_random_test.cpp
+++ b/tests/cell/configuration_random_test.cpp
@@ -1,4 +1,4 @@
-#include <cell/configuration_spread.hpp>
+#include <cell/configuration_propagation.hpp>
 
 #include <boost/test/unit_test.hpp>
 
@@ -69,7 +69,7 @@
 private:
     struct member
     {
-        cell::configuration_spread spread;
+        cell::configuration_propagation spread;
         std::int64_t version{1};
     };
 
@@ -187,8 +187,8 @@
                   [this, n, fails, found = m_members[other].version]
                   {
                       m_members[n].spread.on_fetch_ended(
-                          fails ? cell::fetch_end::failed
-                                : cell::fetch_end::received);
+                          fails ? cell::fetch_outcome::failed
+                                : cell::fetch_outcome::received);
                       if (!fails)
                       {
                           take(m_members[n], found);
--- a/tests/cell/fake_log.hpp
+++ b/tests/cell/fake_log.hpp
@@ -67,36 +67,37 @@
         cell::append_result out;
         if (next == fate::refuse)
         {
-            out.outcome = cell::append_end::refused;
+            out.outcome = cell::append_outcome::refused;
         }
         else if (next == fate::delay)
         {
             m_late.emplace_back(at, records);
-            out.outcome = cell::append_end::unanswered;
+            out.outcome = cell::append_outcome::unanswered;
         }
         else if (at != log.size())
         {
-            out.outcome = cell::append_end::conflict;
+            out.outcome = cell::append_outcome::conflict;
             out.log_end = log.size();
         }
         else
         {
             put(records);
-            out.outcome = next == fate::store ? cell::append_end::stored
-                                              : cell::append_end::unanswered;
+            out.outcome = next == fate::store
+                              ? cell::append_outcome::stored
+                              : cell::append_outcome::unanswered;
         }
         boost::asio::post(m_loop, [handler = std::move(handler), out]
                           { handler(out); });
     }
 
-    network::call_handle read(cell::read_question const& it,
+    network::call_handle read(cell::read_request const& it,
                               cell::read_handler handler) override
     {
         ++reads;
         auto const from = it.from;
         cell::read_result out;
-        out.outcome =
-            from < first ? cell::read_end::trimmed : cell::read_end::read;
+        out.outcome = from < first ? cell::read_outcome::trimmed
+                                   : cell::read_outcome::read;
         out.log_end = log.size();
         std::size_t bytes = 0;
         for (auto n = from; n < log.size() && from >= first; ++n)
@@ -243,7 +244,7 @@
                     if (late)
                     {
                         it = {};
-                        it.outcome = cell::read_end::unanswered;
+                        it.outcome = cell::read_outcome::unanswered;
                     }
                     self->m_begun = true;
                     self->finish(late ? base::duration{0} : takes,
@@ -287,9 +288,9 @@
             {
                 m_queue -= slow_time;
                 cell::append_result out;
-                out.outcome = at == log.size() ? cell::append_end::stored
-                                               : cell::append_end::conflict;
-                if (out.outcome == cell::append_end::stored)
+                out.outcome = at == log.size() ? cell::append_outcome::stored
+                                               : cell::append_outcome::conflict;
+                if (out.outcome == cell::append_outcome::stored)
                 {
                     put(records);
                 }
--- a/tests/cell/hold_turn_test.cpp
+++ b/tests/cell/hold_schedule_test.cpp
@@ -1,4 +1,4 @@
-#include <cell/hold_turn.hpp>
+#include <cell/hold_schedule.hpp>
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -36,14 +36,14 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(hold_turn)
+BOOST_AUTO_TEST_SUITE(hold_schedule)
 
 /// Guards against repeated requests, which are billed, for the same ended
 /// attempts: an instance reports them until it is told that they are stored.
 BOOST_DATA_TEST_CASE(request_waits_until_ended_attempts_are_stored,
                      boost::unit_test::data::make(cases))
 {
-    cell::hold_turn it;
+    cell::hold_schedule it;
     it.request_sent();
     BOOST_TEST(!it.due(base::instant{std::chrono::seconds{9}}, sample.batch));
     it.reported(base::instant{}, sample.batch);
@@ -52,7 +52,7 @@
 
 BOOST_AUTO_TEST_CASE(failed_request_is_retried_after_a_pause)
 {
-    cell::hold_turn it;
+    cell::hold_schedule it;
     it.request_sent();
     it.failed(base::instant{});
     BOOST_TEST(!it.due(base::instant{std::chrono::milliseconds{199}}, 0));
--- a/tests/cell/peer_list_test.cpp
+++ b/tests/cell/peer_list_test.cpp
@@ -117,15 +117,15 @@
     auto const old = base::capture(
         [&]
         {
-            return cell::parse_watch_question(
+            return cell::parse_watch_request(
                 R"({"instance":"a","address":"10.0.0.1:7","millicores":5})");
         });
     BOOST_REQUIRE(old.has_value());
     BOOST_TEST(old.value().from.instance == "a");
     BOOST_TEST(old.value().known == 0);
-    cell::watch_question const now{process(1, 100), 77, {3, base::duration{5}}};
+    cell::watch_request const now{process(1, 100), 77, {3, base::duration{5}}};
     auto const read = base::capture(
-        [&] { return cell::parse_watch_question(cell::text_of(now)); });
+        [&] { return cell::parse_watch_request(cell::text_of(now)); });
     BOOST_TEST((read.has_value() && read.value() == now));
 }
 
--- a/tests/cell/reliable_read_test.cpp
+++ b/tests/cell/reliable_read_test.cpp
@@ -102,7 +102,7 @@
 BOOST_AUTO_TEST_CASE(read_of_a_silent_store_is_given_up)
 {
     log.read_delay = std::chrono::seconds{60};
-    BOOST_TEST((read().result.outcome == cell::read_end::unanswered));
+    BOOST_TEST((read().result.outcome == cell::read_outcome::unanswered));
     BOOST_TEST(log.reads == 4U);
 }
 
--- a/tests/cell/round_pace_test.cpp
+++ b/tests/cell/round_throttle_test.cpp
@@ -1,4 +1,4 @@
-#include <cell/round_pace.hpp>
+#include <cell/round_throttle.hpp>
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -38,7 +38,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(round_pace)
+BOOST_AUTO_TEST_SUITE(round_throttle)
 
 /// Guards against job status calls that time out while the owner places other
 /// work: each round started as soon as the one before had ended, and calls
@@ -47,7 +47,7 @@
                      boost::unit_test::data::make(paces))
 {
     base::instant const began{std::chrono::seconds{10}};
-    cell::round_pace it;
+    cell::round_throttle it;
     it.began(began);
     it.ended(began + sample.takes);
     BOOST_TEST((it.next() - began == sample.next));
--- a/tests/platform_adapter/account_test.cpp
+++ b/tests/platform_adapter/account_test.cpp
@@ -105,7 +105,7 @@
     }
     else
     {
-        BOOST_TEST((refused->reason == cell::refusal_ground::configuration));
+        BOOST_TEST((refused->reason == cell::refusal_reason::configuration));
         BOOST_TEST(refused->key_digest.find('k') == std::string::npos);
     }
 }
--- a/tests/platform_adapter/cell_fixture.cpp
+++ b/tests/platform_adapter/cell_fixture.cpp
@@ -168,7 +168,7 @@
                 {network::http_method::post,
                  std::string{cell::peer_paths::watch},
                  {},
-                 cell::text_of(cell::watch_question{{"test", local(1)}, 0, {}}),
+                 cell::text_of(cell::watch_request{{"test", local(1)}, 0, {}}),
                  "application/json"});
         auto const view =
             base::capture([&] { return cell::parse_watch(end.body); });
--- a/tests/platform_adapter/store_format_test.cpp
+++ b/tests/platform_adapter/store_format_test.cpp
@@ -28,7 +28,7 @@
                std::string("\0\0\0\x09\x03keyvalue\0\0\0\x02\x01k", 19));
     auto const read =
         platform::decode_records(number(12) + number(0) + bytes, 10);
-    BOOST_TEST((read.outcome == cell::read_end::read));
+    BOOST_TEST((read.outcome == cell::read_outcome::read));
     BOOST_TEST(read.log_end == 12U);
     BOOST_REQUIRE(read.entries.size() == 2U);
     BOOST_TEST((read.entries[0] == cell::log_entry{10, "key", "value"}));
@@ -43,8 +43,8 @@
     {
         auto const read = platform::decode_records(whole.substr(0, n), 0);
         BOOST_TEST(read.entries.empty());
-        BOOST_TEST((read.outcome ==
-                    (n < 16 ? cell::read_end::failed : cell::read_end::read)));
+        BOOST_TEST((read.outcome == (n < 16 ? cell::read_outcome::failed
+                                            : cell::read_outcome::read)));
     }
 }
 
